--- a/src/main/java/wingspread/link/ExchangeMessages.java
+++ b/src/main/java/wingspread/link/ExchangeMessages.java
@@ -6,39 +6,40 @@
 import wingspread.sip.SipMessage;
 
 /**
- * The platform's SIP toward exchanges: the requests that are sent, and what the answers mean. Free of state, but for
- * the number that makes the branches of an exchange's later requests differ. Source: the platform's protocol page.
+ * Builds the SIP requests to an exchange and interprets its responses. Its only state is a counter that makes the Via
+ * branches of requests outside an attempt unique per exchange. Source: the platform's protocol page.
  */
 final class ExchangeMessages {
-    /** Number of the CSeq of a BYE: above that of any INVITE of its call. */
+    /** CSeq number of each BYE; higher than that of any INVITE of the same call. */
     private static final long BYE_CSEQ = 1_000;
-    private static final int NORMAL = 16;
+    /** Q.850 cause 16, normal call clearing. */
+    private static final int NORMAL_CLEARING = 16;
 
-    private long branches;
+    private long branchCounter;
 
-    /** A set-up, {@code left} microseconds before it is given up. */
-    SipMessage invite(Attempt attempt, long left) {
+    /** Returns the INVITE of an attempt that times out after {@code remainingMicros}. */
+    SipMessage invite(Attempt attempt, long remainingMicros) {
         return ofAttempt("INVITE", attempt).with("X-Tier", attempt.request().className())
-                .with("X-Deadline", Long.toString(Math.max(1, left / 1_000)))
+                .with("X-Deadline", Long.toString(Math.max(1, remainingMicros / 1_000)))
                 .withBody(attempt.request().description());
     }
 
-    /** The set-up is given up. */
+    /** Returns the CANCEL of an attempt. */
     SipMessage cancel(Attempt attempt) {
         return ofAttempt("CANCEL", attempt);
     }
 
-    /** A call that stands is released. */
+    /** Returns the BYE that releases an established call with a Q.850 cause. */
     SipMessage bye(String call, int cause) {
-        return request("BYE", "call", call, BYE_CSEQ, "z9hG4bK" + call + "-bye" + branches++)
+        return request("BYE", "call", call, BYE_CSEQ, "z9hG4bK" + call + "-bye" + branchCounter++)
                 .with("Reason", "Q.850;cause=" + cause);
     }
 
-    /** The answer to an INVITE is acknowledged; {@code attempt} is null where it is not known any more. */
-    SipMessage ack(SipMessage answer, Attempt attempt) {
-        String call = answer.callId();
-        return request("ACK", attempt == null ? "call" : attempt.request().number(), call, answer.cseq(),
-                attempt == null ? "z9hG4bK" + call + "-ack" + branches++ : branch(attempt));
+    /** Returns the ACK of a final response to an INVITE; {@code attempt} is null if it is no longer known. */
+    SipMessage ack(SipMessage response, Attempt attempt) {
+        String call = response.callId();
+        return request("ACK", attempt == null ? "call" : attempt.request().number(), call, response.cseq(),
+                attempt == null ? "z9hG4bK" + call + "-ack" + branchCounter++ : branch(attempt));
     }
 
     private static SipMessage ofAttempt(String method, Attempt attempt) {
@@ -60,13 +61,13 @@
                 .with("CSeq", cseq + " " + method);
     }
 
-    /** Why a call was released; normal clearing where the message does not say. */
+    /** Returns the Q.850 cause of a release; normal call clearing if the message carries none. */
     static int releaseCause(SipMessage bye) {
         String cause = SipMessage.parameter(bye.header("Reason"), "cause");
-        return cause == null ? NORMAL : (int) Math.max(0, SipMessage.number(cause));
+        return cause == null ? NORMAL_CLEARING : (int) Math.max(0, SipMessage.number(cause));
     }
 
-    /** How an attempt ended with a final answer of this code. */
+    /** Returns the status of an attempt that ended with this final response code. */
     static Status status(int code) {
         return switch (code) {
             case 503 -> Status.FULL;
@@ -77,9 +78,9 @@
         };
     }
 
-    /** What the header X-Outcome says of a refusal. */
-    static Cause outcome(String note) {
-        return switch (note) {
+    /** Returns the cause of a refusal as given by the X-Outcome header. */
+    static Cause cause(String outcome) {
+        return switch (outcome) {
             case "blocked" -> Cause.NO_CIRCUIT;
             case "bounced" -> Cause.TANDEM_BLOCKED;
             case "far_swamped" -> Cause.BEYOND_FULL;
--- a/src/main/java/wingspread/link/Link.java
+++ b/src/main/java/wingspread/link/Link.java
@@ -33,185 +33,202 @@
 import wingspread.storm.Backoff;
 
 /**
- * The connections to one exchange. The newest that works carries the set-ups; one that has fallen silent is
- * replaced. One is kept open at all times: the state of the group and releases arrive on it.
+ * The connections to one exchange. Set-ups are sent on the newest responsive connection; an unresponsive one is
+ * replaced. At least one connection is kept open at all times, since the exchange reports the state of its group of
+ * circuits and sends releases on it.
  */
 final class Link implements MessageHandler.Owner<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
-    private static final int MOST_CONNECTIONS = 4;
-    /** A connect takes one round trip; what is said first on a connection should come in as much. */
-    private static final int SILENCES = 3;
-    private static final long LEAST_SILENCE = 50_000;
-    /** Connections may come up late, by up to a second; the next check may begin meanwhile. */
-    private static final long LONGEST_CHECK = 1_100_000;
-    private static final int MOST_CHECKS = 3;
-    private static final int MOST_WAITING = 256;
-    private static final int MOST_RELEASES = 4_096;
+    private static final int MAX_CONNECTIONS = 4;
+    /**
+     * Multiple of the connect time within which the initial report is expected: a connect takes one round trip, and
+     * the first message on a connection should take about as long.
+     */
+    private static final int INITIAL_REPORT_CONNECT_TIMES = 3;
+    private static final long MIN_INITIAL_REPORT_WAIT_MICROS = 50_000;
+    /** Exchanges may accept a connection up to one second late. The next check may start in the meantime. */
+    private static final long MIN_CHECK_CONNECT_TIMEOUT_MICROS = 1_100_000;
+    private static final int MAX_PENDING_CHECKS = 3;
+    private static final int MAX_WAITING_ATTEMPTS = 256;
+    private static final int MAX_UNSENT_RELEASES = 4_096;
 
     private final Loop loop;
-    private final long number;
-    private final long connectTimeout;
-    private final Links all;
+    private final long exchangeNumber;
+    private final long connectTimeoutMicros;
+    private final Links links;
     private final Consumer<Event> events;
     private final Metrics metrics;
     private InetSocketAddress endpoint;
     private Readiness readiness = Readiness.READY;
-    /** Connections that are up, oldest first, each with the set-ups open on it by call. */
-    private final Map<Channel, Open> open = new LinkedHashMap<>();
-    private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+    /** Open connections, oldest first. */
+    private final Map<Channel, Connection> connections = new LinkedHashMap<>();
+    private final ArrayDeque<Attempt> waitingAttempts = new ArrayDeque<>();
     private final ArrayDeque<SipMessage> unsentReleases = new ArrayDeque<>();
     private boolean connecting;
-    /** Connections that come up for {@link #check}. */
-    private int checks;
-    private boolean retrying;
+    /** Connects in progress that {@link #check} started. */
+    private int pendingChecks;
+    private boolean reconnectScheduled;
     private boolean closed;
-    private boolean tried;
-    private boolean told;
-    private long usedAt;
-    /** Microseconds that the last connection took to come up. */
-    private long tookToConnect;
+    private boolean connectFailed;
+    private boolean stateReported;
+    private long lastUsedAt;
+    /** Duration of the last successful connect. */
+    private long connectDurationMicros;
     private final Backoff backoff;
     private final ExchangeMessages messages = new ExchangeMessages();
 
-    /** What is known of one connection. */
-    private static final class Open {
-        final Map<String, Attempt> setUps = new LinkedHashMap<>();
-        final long upAt;
-        long heardAt;
-        boolean heard;
-        boolean silent;
+    /** State of one open connection. */
+    private static final class Connection {
+        /** Attempts that await their final response on this connection, by call id. */
+        final Map<String, Attempt> attempts = new LinkedHashMap<>();
+        final long openedAt;
+        long lastReceivedAt;
+        boolean hasReceived;
+        boolean unresponsive;
 
-        Open(long now) {
-            upAt = now;
-            heardAt = now;
+        Connection(long now) {
+            openedAt = now;
+            lastReceivedAt = now;
         }
     }
 
-    Link(Loop loop, long number, InetSocketAddress endpoint, long connectTimeout, Backoff backoff,
-            Links all, Consumer<Event> events, Metrics metrics) {
-        this.all = all;
+    Link(Loop loop, long exchangeNumber, InetSocketAddress endpoint, long connectTimeoutMicros, Backoff backoff,
+            Links links, Consumer<Event> events, Metrics metrics) {
+        this.links = links;
         this.loop = loop;
-        this.number = number;
+        this.exchangeNumber = exchangeNumber;
         this.endpoint = endpoint;
-        this.connectTimeout = connectTimeout;
+        this.connectTimeoutMicros = connectTimeoutMicros;
         this.backoff = backoff;
         this.events = events;
         this.metrics = metrics;
     }
 
-    void listed(Listing listing) {
+    /** Applies a new directory entry of the exchange and connects if there is no responsive connection. */
+    void update(Listing listing) {
         readiness = listing.exchange().readiness();
         if (!endpoint.equals(listing.endpoint())) {
-            // The exchange has moved: its old connections may belong to another by now.
+            // The exchange has a new address; the old one may already belong to another exchange.
             endpoint = listing.endpoint();
-            open.values().forEach(connection -> connection.silent = true);
+            connections.values().forEach(connection -> connection.unresponsive = true);
         }
-        if (best() == null) {
+        if (newestResponsive() == null) {
             connect();
         }
     }
 
     /**
-     * Whether it is known what there is to know of the exchange at a start: it has told its group's state, could not be
-     * reached, or has said nothing on a connection for three times as long as that took to come up, though the state is
-     * the first thing to come on one. Guards the start against an exchange that takes connections and has no state to
-     * tell yet: in a fleet there is always one, and every softswitch that started waited for it.
+     * Whether start-up need not wait for this exchange any longer: it has reported the state of its group of circuits,
+     * could not be connected to, or has sent nothing on a connection for {@value #INITIAL_REPORT_CONNECT_TIMES} times
+     * the connect time, although the report is the first message on a connection. The last condition covers an
+     * exchange that accepts connections but has no state to report yet: a fleet always has one, and without it every
+     * starting softswitch would wait for that exchange.
      */
-    boolean settled() {
-        return told || tried || open.values().stream()
-                .anyMatch(o -> loop.now() - o.upAt >= Math.max(LEAST_SILENCE, SILENCES * tookToConnect));
+    boolean startupComplete() {
+        return stateReported || connectFailed || connections.values().stream()
+                .anyMatch(connection -> loop.now() - connection.openedAt >= Math.max(MIN_INITIAL_REPORT_WAIT_MICROS,
+                        INITIAL_REPORT_CONNECT_TIMES * connectDurationMicros));
     }
 
+    /** Closes all connections, opens no further ones, and fails the attempts that wait for a connection. */
     void close(CloseReason reason) {
         closed = true;
         failWaiting();
-        List.copyOf(open.keySet()).forEach(channel -> MessageHandler.close(channel, reason));
+        List.copyOf(connections.keySet()).forEach(channel -> MessageHandler.close(channel, reason));
     }
 
-    /** Whether it holds connections, no set-up is under way on any, and nothing is to go out or there in part. */
+    /**
+     * Whether the link has open connections and all of them are idle: no attempt is in progress or waiting, and no
+     * message has been partly received or not yet been flushed.
+     */
     boolean idle() {
-        return !open.isEmpty() && waiting.isEmpty() && open.entrySet().stream()
-                .allMatch(e -> e.getValue().setUps.isEmpty() && e.getKey().isActive()
+        return !connections.isEmpty() && waitingAttempts.isEmpty() && connections.entrySet().stream()
+                .allMatch(e -> e.getValue().attempts.isEmpty() && e.getKey().isActive()
                         && !MessageHandler.busy(e.getKey()));
     }
 
-    /** When a set-up was last sent; 0 for never. */
-    long usedAt() {
-        return usedAt;
+    /** Returns when a set-up was last sent, in microseconds since the Unix epoch; 0 if never. */
+    long lastUsedAt() {
+        return lastUsedAt;
     }
 
-    /** Leaves its connections to other links until something is to be sent. */
-    void makeRoom() {
-        List.copyOf(open.keySet()).forEach(channel -> MessageHandler.close(channel, CloseReason.MADE_ROOM));
+    /** Closes all connections so that other links can open theirs; the next message to be sent connects again. */
+    void evict() {
+        List.copyOf(connections.keySet()).forEach(channel -> MessageHandler.close(channel, CloseReason.MADE_ROOM));
     }
 
+    /** Closes the connections without attempts, except for the oldest of them. */
     void closeIdle() {
-        open.entrySet().stream().filter(e -> e.getValue().setUps.isEmpty()).skip(1).map(Map.Entry::getKey).toList()
-                .forEach(channel -> MessageHandler.close(channel, CloseReason.SILENT));
+        connections.entrySet().stream().filter(e -> e.getValue().attempts.isEmpty()).skip(1).map(Map.Entry::getKey)
+                .toList().forEach(channel -> MessageHandler.close(channel, CloseReason.SILENT));
     }
 
-    // From the planner.
+    // Requests of the planner.
 
+    /** Sends a set-up, or queues it until a connection is open. */
     void invite(Attempt attempt) {
-        Channel channel = best();
+        Channel channel = newestResponsive();
         if (channel != null) {
             send(channel, attempt);
-        } else if (closed || waiting.size() >= MOST_WAITING) {
+        } else if (closed || waitingAttempts.size() >= MAX_WAITING_ATTEMPTS) {
             events.accept(new Event.Broken(attempt, Status.CONNECT_FAILED));
         } else {
-            waiting.add(attempt);
+            waitingAttempts.add(attempt);
             connect();
         }
     }
 
     private void send(Channel channel, Attempt attempt) {
-        open.get(channel).setUps.put(attempt.request().id(), attempt);
-        usedAt = loop.now();
+        connections.get(channel).attempts.put(attempt.request().id(), attempt);
+        lastUsedAt = loop.now();
         metrics.count("sent.INVITE");
         write(channel, messages.invite(attempt, attempt.deadline() - loop.now()));
     }
 
+    /** Cancels an attempt that has not been answered yet. */
     void withdraw(Attempt attempt) {
-        if (waiting.remove(attempt)) {
+        if (waitingAttempts.remove(attempt)) {
             return;
         }
-        for (Map.Entry<Channel, Open> entry : open.entrySet()) {
-            Open connection = entry.getValue();
-            if (connection.setUps.remove(attempt.request().id(), attempt)) {
+        for (Map.Entry<Channel, Connection> entry : connections.entrySet()) {
+            Connection connection = entry.getValue();
+            if (connection.attempts.remove(attempt.request().id(), attempt)) {
                 metrics.count("sent.CANCEL");
                 write(entry.getKey(), messages.cancel(attempt));
-                replaceIfSilent(connection, attempt);
+                replaceIfUnresponsive(connection, attempt);
                 return;
             }
         }
     }
 
     /**
-     * Guards against a machine that vanished, or was cut off for a while: its connections stay open and silent
-     * for ever, and releases are lost on them. Where nothing has come since a set-up was sent a while ago,
-     * another connection is tried beside the old one.
+     * Marks a connection as unresponsive and opens another one if nothing has been received since the set-up was sent,
+     * at least half the connect timeout ago. A machine that has crashed or was cut off for a while leaves connections
+     * that stay open without traffic indefinitely, and releases sent on them are lost.
      */
-    private void replaceIfSilent(Open connection, Attempt attempt) {
-        if (loop.now() >= attempt.sentAt() + connectTimeout / 2 && connection.heardAt <= attempt.sentAt()) {
-            connection.silent = true;
-            LOG.info("exchange {} {} has fallen silent: nothing since {} ms, call {} unanswered", number, endpoint,
-                    (loop.now() - connection.heardAt) / 1_000, attempt.request().id());
-            // Even where another one works: releases of calls set up on the silent one are said again on a new one.
+    private void replaceIfUnresponsive(Connection connection, Attempt attempt) {
+        if (loop.now() >= attempt.sentAt() + connectTimeoutMicros / 2
+                && connection.lastReceivedAt <= attempt.sentAt()) {
+            connection.unresponsive = true;
+            LOG.info("exchange {} {} is unresponsive: nothing received for {} ms, no response to the set-up of call {}",
+                    exchangeNumber, endpoint, (loop.now() - connection.lastReceivedAt) / 1_000, attempt.request().id());
+            // Connect even if another connection works: the exchange repeats on a new connection the releases of calls
+            // that were set up on the unresponsive one.
             connect();
         }
     }
 
     /**
-     * Releases a call. Guards against a lost release, which would hold circuits: where no connection is there, or only
-     * such as have fallen silent, it waits for one.
+     * Releases an established call. Without a responsive connection the release is queued until there is one, since a
+     * lost release would leave circuits occupied.
      */
     void release(String call, int cause) {
         SipMessage bye = messages.bye(call, cause);
         metrics.count("sent.BYE");
-        Channel channel = best();
+        Channel channel = newestResponsive();
         if (channel != null) {
             write(channel, bye);
-        } else if (!closed && unsentReleases.size() < MOST_RELEASES) {
+        } else if (!closed && unsentReleases.size() < MAX_UNSENT_RELEASES) {
             unsentReleases.add(bye);
             connect();
         }
@@ -219,130 +236,131 @@
 
     // Connections.
 
-    /** The newest connection that is not silent, or null. */
-    private Channel best() {
-        Channel best = null;
-        for (Map.Entry<Channel, Open> entry : open.entrySet()) {
-            if (!entry.getValue().silent && entry.getKey().isActive()) {
-                best = entry.getKey();
+    /** Returns the newest active connection that is not marked unresponsive, or null. */
+    private Channel newestResponsive() {
+        Channel newest = null;
+        for (Map.Entry<Channel, Connection> entry : connections.entrySet()) {
+            if (!entry.getValue().unresponsive && entry.getKey().isActive()) {
+                newest = entry.getKey();
             }
         }
-        return best;
+        return newest;
     }
 
     private void connect() {
-        if (connecting || closed || open.size() >= MOST_CONNECTIONS) {
+        if (connecting || closed || connections.size() >= MAX_CONNECTIONS) {
             return;
         }
-        if (!all.enters(!waiting.isEmpty() || !unsentReleases.isEmpty())) {
-            tried = true;
+        if (!links.reserveConnection(!waitingAttempts.isEmpty() || !unsentReleases.isEmpty())) {
+            connectFailed = true;
             failWaiting();
             if (!unsentReleases.isEmpty()) {
-                retryLater();
+                scheduleReconnect();
             }
             return;
         }
         connecting = true;
-        long since = loop.now();
+        long startedAt = loop.now();
         metrics.count("sent.connects");
-        open(connectTimeout, f -> {
+        openConnection(connectTimeoutMicros, future -> {
             connecting = false;
-            connected(f, since);
+            onConnectDone(future, startedAt);
         });
     }
 
     /**
-     * Opens a connection beside those that are there, since nothing has come on them for a while: a live exchange
-     * speaks first on each new one. It may come up later than others may, and takes the place of the oldest idle one,
-     * which is closed before: what the exchange said on that at the same time it says again on the next.
+     * Opens an additional connection to check an exchange from which nothing has been received for a while: a live
+     * exchange sends the first message on each new connection. The connect timeout is longer than that of other
+     * connects. If more than one connection is open, the oldest idle one is closed first; whatever the exchange sends
+     * on that one at the same moment, it repeats on the next.
      *
-     * @return false where none can be opened now
+     * @return false if no connection can be opened now
      */
     boolean check() {
-        if (closed || checks >= MOST_CHECKS) {
+        if (closed || pendingChecks >= MAX_PENDING_CHECKS) {
             return false;
         }
-        if (open.size() > 1) {
-            open.entrySet().stream().filter(e -> e.getValue().setUps.isEmpty()).map(Map.Entry::getKey).findFirst()
-                    .ifPresent(channel -> MessageHandler.close(channel, CloseReason.REPLACED));
+        if (connections.size() > 1) {
+            connections.entrySet().stream().filter(e -> e.getValue().attempts.isEmpty()).map(Map.Entry::getKey)
+                    .findFirst().ifPresent(channel -> MessageHandler.close(channel, CloseReason.REPLACED));
         }
-        if (open.size() >= MOST_CONNECTIONS || !all.enters(true)) {
+        if (connections.size() >= MAX_CONNECTIONS || !links.reserveConnection(true)) {
             return false;
         }
-        checks++;
-        long since = loop.now();
+        pendingChecks++;
+        long startedAt = loop.now();
         metrics.count("sent.checks");
-        open(Math.max(connectTimeout, LONGEST_CHECK), f -> {
-            checks--;
-            connected(f, since);
+        openConnection(Math.max(connectTimeoutMicros, MIN_CHECK_CONNECT_TIMEOUT_MICROS), future -> {
+            pendingChecks--;
+            onConnectDone(future, startedAt);
         });
         return true;
     }
 
-    private void open(long timeout, ChannelFutureListener whenDone) {
+    private void openConnection(long timeoutMicros, ChannelFutureListener listener) {
         new Bootstrap().group(loop.group()).channelFactory(NioSocketChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeout / 1_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, timeoutMicros / 1_000))
                 .handler(new ChannelInitializer<NioSocketChannel>() {
                     @Override
                     protected void initChannel(NioSocketChannel channel) {
-                        channel.pipeline().addLast(new MessageHandler<>("exchange " + number, new SipDecoder(),
+                        channel.pipeline().addLast(new MessageHandler<>("exchange " + exchangeNumber, new SipDecoder(),
                                 Link.this));
                     }
                 })
                 .connect(endpoint)
-                .addListener(whenDone);
+                .addListener(listener);
     }
 
-    private void notConnected(Throwable cause) {
-        all.left();
-        tried = true;
+    private void onConnectFailed(Throwable cause) {
+        links.releaseConnection();
+        connectFailed = true;
         CloseReason reason = cause instanceof ConnectTimeoutException ? CloseReason.CONNECT_TIMEOUT
                 : cause instanceof ConnectException ? CloseReason.REFUSED : CloseReason.RESET;
-        LOG.info("exchange {} {} ended {}", number, endpoint, reason);
-        Channel best = best();
-        if (best != null) {
-            sendWaiting(best);
+        LOG.info("exchange {} {} ended {}", exchangeNumber, endpoint, reason);
+        Channel channel = newestResponsive();
+        if (channel != null) {
+            sendWaiting(channel);
             return;
         }
         failWaiting();
-        if (reason == CloseReason.REFUSED && open.isEmpty()) {
-            // A refused connection proves that the process is down: what stood through it is cut. One that is reset or
-            // does not come up proves nothing of the kind, nor does a refusal beside a connection that has fallen
-            // silent: an exchange that holds as many connections as it can may be slow as well.
-            events.accept(new Event.Died(number));
+        if (reason == CloseReason.REFUSED && connections.isEmpty()) {
+            // A refused connect proves that the process is down, so its established calls are cut. A connect that is
+            // reset or times out proves nothing, nor does a refusal while an unresponsive connection is still open: an
+            // exchange that has reached its own limit of connections may also be slow.
+            events.accept(new Event.Died(exchangeNumber));
         }
-        retryLater();
+        scheduleReconnect();
     }
 
-    private void connected(ChannelFuture f, long since) {
-        if (!f.isSuccess()) {
-            notConnected(f.cause());
+    private void onConnectDone(ChannelFuture future, long startedAt) {
+        if (!future.isSuccess()) {
+            onConnectFailed(future.cause());
             return;
         }
         if (closed) {
-            all.left();
-            f.channel().close();
+            links.releaseConnection();
+            future.channel().close();
             return;
         }
-        tookToConnect = loop.now() - since;
-        for (Map.Entry<Channel, Open> old : List.copyOf(open.entrySet())) {
-            if (old.getValue().silent) {
+        connectDurationMicros = loop.now() - startedAt;
+        for (Map.Entry<Channel, Connection> old : List.copyOf(connections.entrySet())) {
+            if (old.getValue().unresponsive) {
                 MessageHandler.close(old.getKey(), CloseReason.SILENT);
             }
         }
-        open.put(f.channel(), new Open(loop.now()));
-        LOG.info("exchange {} {} connected in {} ms, {} open, {} set-ups wait", number, endpoint,
-                tookToConnect / 1_000, open.size(), waiting.size());
-        sendReleases(f.channel());
-        sendWaiting(f.channel());
+        connections.put(future.channel(), new Connection(loop.now()));
+        LOG.info("exchange {} {} connected in {} ms, {} open, {} set-ups waiting", exchangeNumber, endpoint,
+                connectDurationMicros / 1_000, connections.size(), waitingAttempts.size());
+        sendReleases(future.channel());
+        sendWaiting(future.channel());
     }
 
-    /** Sends what has waited for a connection. */
+    /** Sends the set-ups that have waited for a connection. */
     private void sendWaiting(Channel channel) {
-        while (!waiting.isEmpty()) {
-            Attempt attempt = waiting.remove();
-            // Guards the drain rule: the list may have changed while the connection was coming up.
+        while (!waitingAttempts.isEmpty()) {
+            Attempt attempt = waitingAttempts.remove();
+            // A draining exchange must not receive set-ups, and it may have begun to drain during the connect.
             if (readiness != Readiness.READY) {
                 events.accept(new Event.Broken(attempt, Status.CONNECT_FAILED));
             } else if (attempt.out()) {
@@ -358,21 +376,21 @@
     }
 
     private void failWaiting() {
-        while (!waiting.isEmpty()) {
-            events.accept(new Event.Broken(waiting.remove(), Status.CONNECT_FAILED));
+        while (!waitingAttempts.isEmpty()) {
+            events.accept(new Event.Broken(waitingAttempts.remove(), Status.CONNECT_FAILED));
         }
     }
 
-    private void retryLater() {
-        if (retrying || closed) {
+    private void scheduleReconnect() {
+        if (reconnectScheduled || closed) {
             return;
         }
-        retrying = true;
-        long wait = backoff.next();
-        LOG.info("exchange {} {} is connected to again in {} ms", number, endpoint, wait / 1_000);
-        loop.at(loop.now() + wait, () -> {
-            retrying = false;
-            if (best() == null) {
+        reconnectScheduled = true;
+        long delayMicros = backoff.next();
+        LOG.info("exchange {} {} reconnecting in {} ms", exchangeNumber, endpoint, delayMicros / 1_000);
+        loop.at(loop.now() + delayMicros, () -> {
+            reconnectScheduled = false;
+            if (newestResponsive() == null) {
                 connect();
             }
         });
@@ -385,81 +403,82 @@
 
     @Override
     public void ended(Channel channel, CloseReason reason) {
-        Open connection = open.remove(channel);
+        Connection connection = connections.remove(channel);
         if (connection == null) {
             return;
         }
-        all.left();
-        for (Attempt attempt : new ArrayList<>(connection.setUps.values())) {
+        links.releaseConnection();
+        for (Attempt attempt : new ArrayList<>(connection.attempts.values())) {
             events.accept(new Event.Broken(attempt, Status.RESET));
         }
-        if (!open.isEmpty() || reason == CloseReason.MADE_ROOM) {
+        if (!connections.isEmpty() || reason == CloseReason.MADE_ROOM) {
             return;
         }
-        if (connection.heard) {
+        if (connection.hasReceived) {
             connect();
         } else {
-            // Guards against an exchange that takes connections and closes them unheard, as one that holds as many as
-            // it can does: all softswitches would connect again and again without a pause.
-            retryLater();
+            // An exchange that has reached its limit of connections accepts new ones and closes them before it sends
+            // anything. Without a delay all softswitches would reconnect to it in a tight loop.
+            scheduleReconnect();
         }
     }
 
-    // From the exchange.
+    // Messages of the exchange.
 
     @Override
     public void received(Channel channel, SipMessage message) {
-        Open connection = open.get(channel);
+        Connection connection = connections.get(channel);
         if (connection == null) {
             return;
         }
-        boolean first = !connection.heard;
-        connection.heardAt = loop.now();
-        connection.silent = false;
+        boolean first = !connection.hasReceived;
+        connection.lastReceivedAt = loop.now();
+        connection.unresponsive = false;
         if (first) {
-            connection.heard = true;
+            connection.hasReceived = true;
             backoff.reset();
         }
         sendReleases(channel);
         sendWaiting(channel);
         if (!message.isRequest()) {
-            response(channel, connection, message);
+            handleResponse(channel, connection, message);
             return;
         }
-        Report report = Gauges.parse(message.header("X-Gauges"));
+        Report report = LoadReportParser.parse(message.header("X-Gauges"));
         switch (message.method()) {
             case "NOTIFY" -> {
-                told = true;
-                events.accept(new Event.Reported(number, report,
-                        first ? connection.upAt : Event.Reported.UNSOLICITED));
+                stateReported = true;
+                events.accept(new Event.Reported(exchangeNumber, report,
+                        first ? connection.openedAt : Event.Reported.UNSOLICITED));
             }
             case "BYE" -> {
                 write(channel, message.reply(200, "OK"));
-                events.accept(new Event.Released(number, message.callId(), ExchangeMessages.releaseCause(message),
-                        report));
+                events.accept(new Event.Released(exchangeNumber, message.callId(),
+                        ExchangeMessages.releaseCause(message), report));
             }
-            case "ACK" -> events.accept(new Event.Heard(number));
+            case "ACK" -> events.accept(new Event.Heard(exchangeNumber));
             default -> {
-                events.accept(new Event.Heard(number));
+                events.accept(new Event.Heard(exchangeNumber));
                 write(channel, message.reply(405, "Method Not Allowed"));
             }
         }
     }
 
-    private void response(Channel channel, Open connection, SipMessage message) {
+    private void handleResponse(Channel channel, Connection connection, SipMessage message) {
         if (!message.cseqMethod().equals("INVITE") || message.status() < 200) {
-            events.accept(new Event.Heard(number));
+            events.accept(new Event.Heard(exchangeNumber));
             return;
         }
         String call = message.callId();
-        Attempt attempt = connection.setUps.remove(call);
+        Attempt attempt = connection.attempts.remove(call);
         metrics.count("taken." + message.status());
         write(channel, messages.ack(message, attempt));
         if (message.status() < 300) {
-            events.accept(new Event.Answered(number, call, message.body()));
+            events.accept(new Event.Answered(exchangeNumber, call, message.body()));
         } else {
-            events.accept(new Event.Rejected(number, call, ExchangeMessages.status(message.status()),
-                    ExchangeMessages.outcome(message.header("X-Outcome")), Gauges.parse(message.header("X-Gauges"))));
+            events.accept(new Event.Rejected(exchangeNumber, call, ExchangeMessages.status(message.status()),
+                    ExchangeMessages.cause(message.header("X-Outcome")),
+                    LoadReportParser.parse(message.header("X-Gauges"))));
         }
     }
 }
--- a/src/main/java/wingspread/link/Links.java
+++ b/src/main/java/wingspread/link/Links.java
@@ -20,104 +20,115 @@
 import wingspread.metrics.Metrics;
 import wingspread.storm.ReconnectFigures;
 
-/** The connections to all exchanges, by the number that the directory gave each. */
+/** The connections to all exchanges, by the number that the directory assigned to each exchange. */
 public final class Links implements Exchanges {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
 
     private final Loop loop;
-    private final Consumer<Event> planner;
+    private final Consumer<Event> events;
     private final Metrics metrics;
-    private final long connectTimeout;
-    private final int ownPlace;
-    private final ReconnectFigures reconnects;
+    private final long connectTimeoutMicros;
+    private final int ownExchangeIndex;
+    private final ReconnectFigures reconnectParameters;
     private final RandomGenerator random;
     private final Map<Long, Link> links = new LinkedHashMap<>();
-    private final IntSupplier most;
+    private final IntSupplier maxConnections;
     private int open;
-    private boolean full;
+    private boolean limitReported;
 
     /**
-     * Links that wait before they connect again as these figures say, with this randomness.
+     * Creates the links without any exchange; {@link #update} adds them.
      *
-     * @param most connections that may be open or coming up, of all links together
+     * @param connectTimeoutMicros time after which a connect fails, in microseconds
+     * @param ownExchangeIndex index of the exchange that this softswitch serves, to which it opens no connection
+     * @param maxConnections current limit of connections that are open or being opened, of all links together
+     * @param reconnectParameters delays between two connects of one link
+     * @param random source of the jitter of these delays
+     * @param events receives what happens on the connections
      */
-    public Links(Loop loop, long connectTimeout, int ownPlace, IntSupplier most, ReconnectFigures reconnects,
-            RandomGenerator random, Consumer<Event> planner, Metrics metrics) {
-        this.most = most;
-        this.reconnects = reconnects;
+    public Links(Loop loop, long connectTimeoutMicros, int ownExchangeIndex, IntSupplier maxConnections,
+            ReconnectFigures reconnectParameters, RandomGenerator random, Consumer<Event> events, Metrics metrics) {
+        this.maxConnections = maxConnections;
+        this.reconnectParameters = reconnectParameters;
         this.random = random;
         this.loop = loop;
-        this.connectTimeout = connectTimeout;
-        this.ownPlace = ownPlace;
-        this.planner = planner;
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.ownExchangeIndex = ownExchangeIndex;
+        this.events = events;
         this.metrics = metrics;
     }
 
-    /** Takes news of the exchanges: opens one connection early to each that can be called. */
+    /**
+     * Applies changes of the directory. Opens a connection to each listed exchange before the first call to it, and
+     * closes the connections to exchanges that have been removed.
+     */
     public void update(List<Listing> listings) {
         for (Listing listing : listings) {
-            if (listing.exchange().place() == ownPlace) {
+            if (listing.exchange().place() == ownExchangeIndex) {
                 continue;
             }
             long number = listing.exchange().address();
             Link link = links.get(number);
-            boolean gone = listing.exchange().readiness() == Readiness.GONE;
-            if (link == null && !gone) {
-                link = new Link(loop, number, listing.endpoint(), connectTimeout,
-                        reconnects.backoff(random), this, this::post, metrics);
+            boolean removed = listing.exchange().readiness() == Readiness.GONE;
+            if (link == null && !removed) {
+                link = new Link(loop, number, listing.endpoint(), connectTimeoutMicros,
+                        reconnectParameters.backoff(random), this, this::post, metrics);
                 links.put(number, link);
             }
-            if (link != null && gone) {
+            if (link != null && removed) {
                 link.close(CloseReason.GONE);
                 links.remove(number);
             } else if (link != null) {
-                link.listed(listing);
+                link.update(listing);
             }
         }
     }
 
-    /** Connections that are open or coming up. */
+    /** Returns the number of connections that are open or being opened. */
     public int open() {
         return open;
     }
 
     /**
-     * Whether a link may open a connection, which is counted until {@link #left}. Where there is no room and a set-up
-     * or a release wants it, the idle link that was used longest ago leaves its place; that one connects again when
-     * something is to be sent on it. Guards the limit of descriptors in a fleet of more exchanges than it allows.
+     * Reserves a connection for a link; {@link #releaseConnection} gives it back. At the limit, the least recently used
+     * idle link may be evicted; it connects again when it has something to send. This keeps the process within its
+     * limit of file descriptors in a fleet with more exchanges than the limit allows.
+     *
+     * @param mayEvict whether an idle link may be evicted: the caller has something to send or checks its exchange
+     * @return whether the link may open a connection
      */
-    boolean enters(boolean wanted) {
-        if (open >= most.getAsInt()) {
-            Link idle = wanted ? links.values().stream().filter(Link::idle)
-                    .min(Comparator.comparingLong(Link::usedAt)).orElse(null) : null;
-            if (!full) {
-                full = true;
-                LOG.warn("{}: {} connections to exchanges are open and no more may be; they are shared from now on",
+    boolean reserveConnection(boolean mayEvict) {
+        if (open >= maxConnections.getAsInt()) {
+            Link idle = mayEvict ? links.values().stream().filter(Link::idle)
+                    .min(Comparator.comparingLong(Link::lastUsedAt)).orElse(null) : null;
+            if (!limitReported) {
+                limitReported = true;
+                LOG.warn("{}: limit reached with {} connections to exchanges; idle ones are evicted on demand",
                         CloseReason.TOO_MANY, open);
             }
             if (idle == null) {
                 metrics.count("sent.connects-without-room");
                 return false;
             }
-            idle.makeRoom();
+            idle.evict();
         }
         open++;
         return true;
     }
 
-    /** A connection that entered has ended or did not come up. */
-    void left() {
+    /** Gives back a reserved connection that has been closed or could not be opened. */
+    void releaseConnection() {
         open--;
     }
 
     private void post(Event event) {
-        planner.accept(event);
+        events.accept(event);
         loop.wantTurn();
     }
 
-    /** Whether each exchange has told its group's state, or could not be reached. */
+    /** Whether start-up need not wait for any exchange any longer, as {@link Link#startupComplete} describes. */
     public boolean settled() {
-        return links.values().stream().allMatch(Link::settled);
+        return links.values().stream().allMatch(Link::startupComplete);
     }
 
     /** Closes all connections. */
--- a/src/main/java/wingspread/link/Gauges.java
+++ b/src/main/java/wingspread/link/LoadReportParser.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import wingspread.control.CallControl.Report;
 
-/** Reads load reports, as in {@code x0:12;x1:40;queue:3}; -1 stands for what is not told. */
-final class Gauges {
-    private Gauges() { }
+/**
+ * Parses load reports of exchanges, such as {@code x0:12;x1:40;queue:3}. A value that is missing, negative or not a
+ * finite number, such as the -1 of an exchange that does not report it, becomes NaN.
+ */
+final class LoadReportParser {
+    private LoadReportParser() { }
 
     static Report parse(String text) {
         if (text.isEmpty()) {
@@ -20,7 +23,7 @@
                 try {
                     values.put(part.substring(0, colon).strip(), Double.valueOf(part.substring(colon + 1).strip()));
                 } catch (NumberFormatException e) {
-                    // A figure that cannot be read is a figure that is not told.
+                    // A value that is not a number counts as not reported.
                     continue;
                 }
             }
@@ -31,7 +34,7 @@
                 value(values, List.of("max_rate", "qps")), value(values, List.of("reduce", "eps")));
     }
 
-    /** The figure under one of its names, the settings' and the operators'. */
+    /** Returns the value under the first of its names that is present: those of the settings and of the operators. */
     private static double value(Map<String, Double> values, List<String> names) {
         for (String name : names) {
             Double value = values.get(name);
--- a/src/main/java/wingspread/net/Admission.java
+++ b/src/main/java/wingspread/net/Admission.java
@@ -9,84 +9,87 @@
 import java.util.function.Predicate;
 
 /**
- * Bounds the connections that clients open, and guards the others against those that only hold one: a
- * connection that has never sent a whole message is closed after a while, and sooner where room is wanted;
- * after those, the idle one that was heard longest ago makes room. Confined to the loop.
+ * Limits the number of client connections and keeps clients that send nothing from using up the limit. A connection
+ * that has never sent a complete message is closed after a timeout. At the limit, a new connection evicts the oldest
+ * connection without a complete message, or else the idle one whose last message is the oldest. Confined to the loop.
  */
 public final class Admission {
     private final Loop loop;
-    private final IntSupplier most;
-    private final long longestMute;
+    private final IntSupplier maxConnections;
+    private final long firstMessageTimeoutMicros;
     private final Predicate<Channel> idle;
-    /** Connections without a whole message yet, oldest first, and when each is closed. */
-    private final Map<Channel, Long> mute = new LinkedHashMap<>();
-    /** The others, the one heard longest ago first. */
-    private final Set<Channel> heard = new LinkedHashSet<>();
-    private boolean watching;
+    /** Connections that have not sent a complete message yet, oldest first, with the time at which each is closed. */
+    private final Map<Channel, Long> awaitingFirstMessage = new LinkedHashMap<>();
+    /** All other connections, ordered by their last message, least recent first. */
+    private final Set<Channel> active = new LinkedHashSet<>();
+    private boolean timeoutScheduled;
 
     /**
-     * Starts with no connection.
+     * Creates an admission without connections.
      *
-     * @param most connections at a time; it may fall below what is open, which then makes room one by one
-     * @param longestMute microseconds from the opening of a connection to its first whole message
-     * @param idle whether a connection carries nothing and may be closed
+     * @param maxConnections current limit of open connections; if it falls below their number, each new connection
+     *     still evicts only one
+     * @param firstMessageTimeoutMicros time from the opening of a connection to its first complete message, in
+     *     microseconds
+     * @param idle whether a connection carries no calls and may be closed
      */
-    public Admission(Loop loop, IntSupplier most, long longestMute, Predicate<Channel> idle) {
+    public Admission(Loop loop, IntSupplier maxConnections, long firstMessageTimeoutMicros, Predicate<Channel> idle) {
         this.loop = loop;
-        this.most = most;
-        this.longestMute = longestMute;
+        this.maxConnections = maxConnections;
+        this.firstMessageTimeoutMicros = firstMessageTimeoutMicros;
         this.idle = idle;
     }
 
-    /** A connection has come up; where there is no room for it, none can be made and it is closed. */
+    /** Registers a new connection, which is closed if the limit is reached and none can be evicted. */
     public void opened(Channel channel) {
-        boolean room = mute.size() + heard.size() < most.getAsInt() || makeRoom();
-        mute.put(channel, loop.now() + longestMute);
-        if (!room) {
+        boolean hasCapacity = awaitingFirstMessage.size() + active.size() < maxConnections.getAsInt() || evictOne();
+        awaitingFirstMessage.put(channel, loop.now() + firstMessageTimeoutMicros);
+        if (!hasCapacity) {
             loop.execute(() -> MessageHandler.close(channel, CloseReason.TOO_MANY));
         }
-        watch();
+        scheduleTimeout();
     }
 
-    /** A whole message has come in. */
+    /** Registers that a complete message has been received. */
     public void heard(Channel channel) {
-        if (mute.remove(channel) != null || heard.remove(channel)) {
-            heard.add(channel);
+        if (awaitingFirstMessage.remove(channel) != null || active.remove(channel)) {
+            active.add(channel);
         }
     }
 
+    /** Removes a connection that has been closed. */
     public void ended(Channel channel) {
-        mute.remove(channel);
-        heard.remove(channel);
+        awaitingFirstMessage.remove(channel);
+        active.remove(channel);
     }
 
-    private boolean makeRoom() {
-        Channel leaves = mute.keySet().stream().findFirst()
-                .or(() -> heard.stream().filter(idle).findFirst()).orElse(null);
-        if (leaves == null) {
+    private boolean evictOne() {
+        Channel evicted = awaitingFirstMessage.keySet().stream().findFirst()
+                .or(() -> active.stream().filter(idle).findFirst()).orElse(null);
+        if (evicted == null) {
             return false;
         }
-        ended(leaves);
-        MessageHandler.close(leaves, CloseReason.MADE_ROOM);
+        ended(evicted);
+        MessageHandler.close(evicted, CloseReason.MADE_ROOM);
         return true;
     }
 
-    private void watch() {
-        if (!watching && !mute.isEmpty()) {
-            watching = true;
-            loop.at(mute.values().iterator().next(), () -> {
-                watching = false;
-                closeOverdue();
-                watch();
+    private void scheduleTimeout() {
+        if (!timeoutScheduled && !awaitingFirstMessage.isEmpty()) {
+            timeoutScheduled = true;
+            loop.at(awaitingFirstMessage.values().iterator().next(), () -> {
+                timeoutScheduled = false;
+                closeTimedOut();
+                scheduleTimeout();
             });
         }
     }
 
-    private void closeOverdue() {
-        while (!mute.isEmpty() && mute.values().iterator().next() <= loop.now()) {
-            Channel overdue = mute.keySet().iterator().next();
-            mute.remove(overdue);
-            MessageHandler.close(overdue, CloseReason.MUTE);
+    private void closeTimedOut() {
+        while (!awaitingFirstMessage.isEmpty() && awaitingFirstMessage.values().iterator().next() <= loop.now()) {
+            Channel timedOut = awaitingFirstMessage.keySet().iterator().next();
+            awaitingFirstMessage.remove(timedOut);
+            MessageHandler.close(timedOut, CloseReason.MUTE);
         }
     }
 }
--- a/src/main/java/wingspread/net/BadInput.java
+++ b/src/main/java/wingspread/net/BadInput.java
@@ -1,6 +1,6 @@
 package wingspread.net;
 
-/** A message from outside that cannot be understood; the text says what and where, in one line. */
+/** Thrown for malformed input from outside the process. The message names the fault and its position in one line. */
 public final class BadInput extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wingspread/net/CloseReason.java
+++ b/src/main/java/wingspread/net/CloseReason.java
@@ -1,31 +1,31 @@
 package wingspread.net;
 
-/** Why a connection ended, as its one log line says. */
+/** Why a connection ended, as logged in the single line about its end. */
 public enum CloseReason {
-    /** The other side closed it in good order. */
+    /** The peer closed it normally. */
     PEER_CLOSED,
-    /** The other side reset it, or the network failed. */
+    /** The peer reset it, or the network failed. */
     RESET,
     /** A connect was refused. */
     REFUSED,
-    /** A connect did not come up in time. */
+    /** A connect timed out. */
     CONNECT_TIMEOUT,
-    /** What came in was no message of its protocol. */
+    /** The received bytes were not a valid message of the protocol. */
     BAD_INPUT,
-    /** The other side does not read what is sent to it. */
+    /** The peer does not read, and the limit of unsent bytes was exceeded. */
     BACKLOG,
-    /** There are as many connections as are allowed. */
+    /** The limit of open connections was reached. */
     TOO_MANY,
-    /** It never sent a whole message. */
+    /** The peer did not send a complete message in time. */
     MUTE,
-    /** It was idle, or had sent no whole message, and a new one needed its place. */
+    /** It was idle, or had not sent a complete message, and was evicted in favour of a new connection. */
     MADE_ROOM,
-    /** Another connection has taken over from one that had fallen silent. */
+    /** It was unresponsive and has been replaced, or was a surplus idle connection. */
     SILENT,
-    /** It was idle, and a fresh one was opened to see whether the other side still speaks. */
+    /** It was idle and was replaced by a new connection that checks whether the peer is alive. */
     REPLACED,
-    /** The exchange has left the directory. */
+    /** The exchange was removed from the directory. */
     GONE,
-    /** This program is ending. */
+    /** This process is shutting down. */
     SHUTDOWN
 }
--- a/src/main/java/wingspread/net/DatagramHandler.java
+++ b/src/main/java/wingspread/net/DatagramHandler.java
@@ -9,19 +9,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads datagrams; what is malformed, and what the network reports, ends with its datagram. */
+/** Receives datagrams. A malformed datagram or a network error is logged and does not affect later datagrams. */
 public final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private static final Logger LOG = LoggerFactory.getLogger("datagram");
 
-    /** Whom the datagrams concern. */
+    /** Receives the datagrams. */
     @FunctionalInterface
     public interface Owner {
+        /**
+         * Processes a datagram.
+         *
+         * @throws BadInput if the datagram is malformed; it is dropped
+         */
         void received(ChannelHandlerContext ctx, byte[] bytes, InetSocketAddress sender) throws BadInput;
     }
 
     private final String kind;
     private final Owner owner;
 
+    /**
+     * Creates a handler.
+     *
+     * @param kind name of the endpoint in the log
+     */
     public DatagramHandler(String kind, Owner owner) {
         this.kind = kind;
         this.owner = owner;
--- a/src/main/java/wingspread/net/Descriptors.java
+++ b/src/main/java/wingspread/net/Descriptors.java
@@ -1,29 +1,31 @@
 package wingspread.net;
 
 /**
- * The platform's limit of descriptors, shared by the connections of callers and those to exchanges. Callers are always
- * left the third that the platform lets them hold; of the rest whoever comes first takes what it needs.
+ * Divides the limit of file descriptors that the platform sets between the connections of callers and those to
+ * exchanges. A third, which the platform allows callers to hold, is always reserved for them; the rest is available to
+ * both on a first-come basis.
  *
- * @param limit descriptors that the program may hold
+ * @param limit maximum number of file descriptors that the process may have open
  */
 public record Descriptors(int limit) {
-    /** Files, up to 37 jars, the selector, the listener, the directory: 12 to 43 were counted. */
-    private static final int OTHERS = 64;
-    /** What is let in beyond the callers' third is for those who hold connections idly. */
-    private static final double CALLERS_SHARE = 0.6;
-    private static final int LEAST = 4;
+    /** Descriptors for files, up to 37 jars, the selector, the listener and the directory; 12 to 43 are in use. */
+    private static final int OTHER_DESCRIPTORS = 64;
+    /** Maximum share for callers; the part above their guaranteed third serves callers with idle connections. */
+    private static final double MAX_CALLER_SHARE = 0.6;
+    private static final int MIN_CONNECTIONS = 4;
 
-    /** Connections that callers may hold while so many to exchanges are open. */
+    /** Returns the maximum number of caller connections while {@code toExchanges} connections to exchanges are open. */
     public int forCallers(int toExchanges) {
-        return Math.max(third(), Math.min((int) (limit * CALLERS_SHARE), limit - OTHERS - toExchanges));
+        return Math.max(guaranteedForCallers(),
+                Math.min((int) (limit * MAX_CALLER_SHARE), limit - OTHER_DESCRIPTORS - toExchanges));
     }
 
-    /** Connections to exchanges that may be open while callers hold so many. */
+    /** Returns the maximum number of connections to exchanges while callers hold {@code ofCallers} connections. */
     public int forExchanges(int ofCallers) {
-        return Math.max(LEAST, limit - OTHERS - Math.max(third(), ofCallers));
+        return Math.max(MIN_CONNECTIONS, limit - OTHER_DESCRIPTORS - Math.max(guaranteedForCallers(), ofCallers));
     }
 
-    private int third() {
-        return Math.max(LEAST, limit / 3);
+    private int guaranteedForCallers() {
+        return Math.max(MIN_CONNECTIONS, limit / 3);
     }
 }
--- a/src/main/java/wingspread/net/FrameDecoder.java
+++ b/src/main/java/wingspread/net/FrameDecoder.java
@@ -1,18 +1,29 @@
 package wingspread.net;
 
-/** Cuts messages out of a byte stream. */
+/**
+ * Splits a byte stream into messages.
+ *
+ * @param <M> type of the messages
+ */
 @FunctionalInterface
 public interface FrameDecoder<M> {
-    /** The longest message that is taken, in bytes. */
+    /** Maximum length of a message in bytes. */
     int MAX_FRAME = 16 * 1024;
 
-    /** A message, or null while none is whole yet, and how many bytes are done with. */
+    /**
+     * Result of one decoding step.
+     *
+     * @param message the message; null if none is complete yet
+     * @param used number of bytes consumed
+     */
     record Step<M>(M message, int used) { }
 
     /**
-     * Looks at the bytes in hand.
+     * Decodes the next message.
      *
-     * @throws BadInput where they can be no message; the connection is closed
+     * @param from index of the first byte
+     * @param to index after the last byte
+     * @throws BadInput if the bytes cannot be a valid message; the connection is closed
      */
     Step<M> next(byte[] bytes, int from, int to) throws BadInput;
 }
--- a/src/main/java/wingspread/net/Loop.java
+++ b/src/main/java/wingspread/net/Loop.java
@@ -14,34 +14,40 @@
 import wingspread.turn.Worker;
 
 /**
- * The one event loop. All that an iteration of it reads is gathered first; then one turn is played, and each
- * channel that the turn wrote to is flushed once.
+ * The single event loop of the process. Each iteration first reads and collects all pending input; then the workers
+ * run one turn, and each channel that they wrote to is flushed once.
  */
 public final class Loop {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("loop"));
     private final NioEventLoop eventLoop = (NioEventLoop) group.next();
     private final LongSupplier clock;
-    private final Set<Channel> touched = new LinkedHashSet<>();
+    private final Set<Channel> unflushed = new LinkedHashSet<>();
     private final List<Worker> workers = new ArrayList<>();
-    private boolean turnAsked;
-    private boolean playing;
-    private ScheduledFuture<?> alarm;
-    private long alarmAt = Long.MAX_VALUE;
+    private boolean turnRequested;
+    private boolean inTurn;
+    private ScheduledFuture<?> timer;
+    private long timerDue = Long.MAX_VALUE;
 
+    /**
+     * Creates the loop and its thread.
+     *
+     * @param clock time in microseconds since the Unix epoch
+     */
     public Loop(LongSupplier clock) {
         this.clock = clock;
     }
 
+    /** Returns the Netty group with this event loop as its only member. */
     public NioEventLoopGroup group() {
         return group;
     }
 
-    /** The clock: microseconds since the Unix epoch. */
+    /** Returns the current time in microseconds since the Unix epoch. */
     public long now() {
         return clock.getAsLong();
     }
 
-    /** Adds a worker; the turns of one iteration are played in the order of their adding. */
+    /** Adds a worker; within an iteration the workers run in the order in which they were added. */
     public void serve(Worker worker) {
         workers.add(worker);
     }
@@ -51,62 +57,62 @@
         eventLoop.execute(task);
     }
 
-    /** Runs a task on the loop at a time. */
+    /** Runs a task on the loop at {@code time}, in microseconds since the Unix epoch. */
     public void at(long time, Runnable task) {
         eventLoop.schedule(task, Math.max(0, time - now()), TimeUnit.MICROSECONDS);
     }
 
-    /** Something was gathered: a turn follows once all that is ready has been read. */
+    /** Requests a turn, which runs after the current iteration of the event loop has read all pending input. */
     public void wantTurn() {
-        if (!turnAsked) {
-            turnAsked = true;
-            eventLoop.executeAfterEventLoopIteration(this::play);
+        if (!turnRequested) {
+            turnRequested = true;
+            eventLoop.executeAfterEventLoopIteration(this::runTurn);
         }
     }
 
-    /** A channel was written to; it is flushed after the turn. */
+    /** Marks a channel to be flushed after the turn. */
     public void touch(Channel channel) {
-        touched.add(channel);
-        if (!playing) {
+        unflushed.add(channel);
+        if (!inTurn) {
             wantTurn();
         }
     }
 
-    /** Flushes what was written, at once. */
+    /** Flushes all marked channels immediately. */
     public void flush() {
-        touched.forEach(Channel::flush);
-        touched.clear();
+        unflushed.forEach(Channel::flush);
+        unflushed.clear();
     }
 
-    /** Ends the loop; what is written was flushed before. */
+    /** Shuts the loop down; it does not flush, so call {@link #flush} before. */
     public void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private void play() {
-        turnAsked = false;
-        playing = true;
+    private void runTurn() {
+        turnRequested = false;
+        inTurn = true;
         try {
             workers.forEach(Worker::turn);
         } finally {
-            // Guards what the turn has written, should a defect break it off: Netty logs it and the loop goes on.
-            playing = false;
+            // Flush even if the turn failed with an exception: Netty logs it and the loop continues.
+            inTurn = false;
             flush();
         }
         long due = workers.stream().mapToLong(Worker::nextDue).min().orElse(Long.MAX_VALUE);
-        // A turn may ask for another: then that one sets the alarm.
-        if (due < alarmAt && !turnAsked) {
-            if (alarm != null) {
-                alarm.cancel(false);
+        // If the turn requested another one, that one sets the timer.
+        if (due < timerDue && !turnRequested) {
+            if (timer != null) {
+                timer.cancel(false);
             }
-            alarmAt = due;
-            alarm = eventLoop.schedule(this::ring, Math.max(0, due - now()), TimeUnit.MICROSECONDS);
+            timerDue = due;
+            timer = eventLoop.schedule(this::onTimer, Math.max(0, due - now()), TimeUnit.MICROSECONDS);
         }
     }
 
-    private void ring() {
-        alarmAt = Long.MAX_VALUE;
-        alarm = null;
+    private void onTimer() {
+        timerDue = Long.MAX_VALUE;
+        timer = null;
         wantTurn();
     }
 }
--- a/src/main/java/wingspread/net/MessageHandler.java
+++ b/src/main/java/wingspread/net/MessageHandler.java
@@ -12,54 +12,62 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One stream connection: cuts its bytes into messages, bounds both directions and logs its end once. */
+/**
+ * Handles one stream connection: splits the received bytes into messages, limits both the incomplete input and the
+ * unsent output, and logs the end of the connection in a single line.
+ */
 public final class MessageHandler<M> extends ChannelInboundHandlerAdapter {
-    /** Unsent bytes at which a connection whose other side does not read is given up. */
-    private static final long MOST_UNSENT = 1 << 20;
+    /** Unsent bytes above which a connection is closed because the peer does not read. */
+    private static final long MAX_UNSENT_BYTES = 1 << 20;
     private static final Logger LOG = LoggerFactory.getLogger("connection");
 
-    /** Whom the messages and the end of a connection concern. */
+    /** Receives the messages and the end of a connection. */
     public interface Owner<M> {
-        /** A whole message; an owner may find it malformed too. */
+        /**
+         * Processes a complete message.
+         *
+         * @throws BadInput if the message is malformed; the connection is closed
+         */
         void received(Channel channel, M message) throws BadInput;
 
         /** The connection has ended. */
         void ended(Channel channel, CloseReason reason);
 
-        /** Milliseconds without a byte after which a message that has begun counts as stopping short. */
+        /** Returns the time in milliseconds without a byte after which an incomplete message closes its connection. */
         default long longestPause() {
-            return LONGEST_PAUSE;
+            return DEFAULT_MAX_PAUSE_MS;
         }
 
         /**
-         * Pauses that a message may take as long as bytes come. One is the least: what follows a message that has
-         * stopped short is bytes as well, and is swallowed for so long.
+         * Returns how many intervals of {@link #longestPause} a message may take in total as long as bytes keep
+         * arriving. The default is 1, the minimum, since the messages after a truncated one also count as arriving
+         * bytes and are lost until the connection is closed.
          */
         default int mostPauses() {
             return 1;
         }
 
-        /** Whether something is owed on the connection: meanwhile no message that stops short closes it. */
+        /** Whether a reply is pending on the connection; until it is sent, no incomplete message closes it. */
         default boolean owes(Channel channel) {
             return false;
         }
     }
 
-    private static final long LONGEST_PAUSE = 400;
+    private static final long DEFAULT_MAX_PAUSE_MS = 400;
 
     private final String kind;
     private final FrameDecoder<M> decoder;
     private final Owner<M> owner;
     private byte[] bytes = new byte[1024];
-    private int from;
-    private int to;
-    private long messages;
-    private long received;
-    /** Pauses in a row in which no message became whole. */
-    private int pauses;
-    private boolean awaiting;
-    private CloseReason reason = CloseReason.PEER_CLOSED;
-    private String detail = "";
+    private int readIndex;
+    private int writeIndex;
+    private long messageCount;
+    private long receivedBytes;
+    /** Consecutive check intervals in which no message was completed. */
+    private int incompletePauses;
+    private boolean checkScheduled;
+    private CloseReason closeReason = CloseReason.PEER_CLOSED;
+    private String closeDetail = "";
 
     public MessageHandler(String kind, FrameDecoder<M> decoder, Owner<M> owner) {
         this.kind = kind;
@@ -67,109 +75,112 @@
         this.owner = owner;
     }
 
-    /** Closes a connection for a reason of ours. */
+    /** Closes a connection and logs this reason with its end. */
     public static void close(Channel channel, CloseReason reason) {
         MessageHandler<?> handler = channel.pipeline().get(MessageHandler.class);
         if (handler != null && channel.isActive()) {
-            handler.reason = reason;
+            handler.closeReason = reason;
         }
         channel.close();
     }
 
-    /** Whether a message is there in part, or what was written has not gone out whole. */
+    /** Whether a message has been received in part, or written data has not been sent completely. */
     public static boolean busy(Channel channel) {
         MessageHandler<?> handler = channel.pipeline().get(MessageHandler.class);
         ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
-        return handler != null && handler.to > handler.from || unsent != null && unsent.totalPendingWriteBytes() > 0;
+        return handler != null && handler.writeIndex > handler.readIndex
+                || unsent != null && unsent.totalPendingWriteBytes() > 0;
     }
 
-    /** Writes without a flush; gives up a connection whose other side does not read. */
+    /** Writes without a flush; closes the connection if its peer does not read. */
     public static void write(Channel channel, ByteBuf message) {
         channel.write(message, channel.voidPromise());
-        // Guards against a reader that has stopped: without a bound its unsent bytes would fill the memory.
+        // If the peer stopped reading, the unsent bytes would fill up the memory without a limit.
         if (channel.unsafe().outboundBuffer() != null
-                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT) {
+                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
             close(channel, CloseReason.BACKLOG);
         }
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object in) {
-        ByteBuf buf = (ByteBuf) in;
+    public void channelRead(ChannelHandlerContext ctx, Object input) {
+        ByteBuf data = (ByteBuf) input;
         try {
-            take(buf);
+            append(data);
         } finally {
-            buf.release();
+            data.release();
         }
         try {
             while (ctx.channel().isActive()) {
-                FrameDecoder.Step<M> step = decoder.next(bytes, from, to);
-                from += step.used();
+                FrameDecoder.Step<M> step = decoder.next(bytes, readIndex, writeIndex);
+                readIndex += step.used();
                 if (step.message() == null) {
-                    awaitRest(ctx);
+                    scheduleIncompleteMessageCheck(ctx);
                     return;
                 }
-                messages++;
+                messageCount++;
                 owner.received(ctx.channel(), step.message());
             }
         } catch (BadInput e) {
-            detail = " (" + e.getMessage() + ")";
+            closeDetail = " (" + e.getMessage() + ")";
             close(ctx.channel(), CloseReason.BAD_INPUT);
         }
     }
 
     /**
-     * Guards against a message that stops short or states a length that never comes: all that follows it on its
-     * connection would be waited for in vain. One that comes slowly goes on for as long as bytes come, within a bound.
+     * Closes the connection if a message is truncated, or announces a length that never arrives: everything that
+     * follows on the connection would be taken for the rest of that message. A message that arrives slowly may
+     * continue as long as bytes keep arriving, up to a limit.
      */
-    private void awaitRest(ChannelHandlerContext ctx) {
-        if (to > from && !awaiting) {
-            awaiting = true;
-            long messagesBefore = messages;
-            long receivedBefore = received;
+    private void scheduleIncompleteMessageCheck(ChannelHandlerContext ctx) {
+        if (writeIndex > readIndex && !checkScheduled) {
+            checkScheduled = true;
+            long messageCountBefore = messageCount;
+            long receivedBytesBefore = receivedBytes;
             ctx.executor().schedule(() -> {
-                awaiting = false;
-                pauses = messages > messagesBefore ? 0 : pauses + 1;
-                boolean stopped = to > from && messages == messagesBefore
-                        && (received == receivedBefore || pauses >= owner.mostPauses());
-                if (stopped && !owner.owes(ctx.channel())) {
-                    detail = " (a message that stops short)";
+                checkScheduled = false;
+                incompletePauses = messageCount > messageCountBefore ? 0 : incompletePauses + 1;
+                boolean timedOut = writeIndex > readIndex && messageCount == messageCountBefore
+                        && (receivedBytes == receivedBytesBefore || incompletePauses >= owner.mostPauses());
+                if (timedOut && !owner.owes(ctx.channel())) {
+                    closeDetail = " (incomplete message)";
                     close(ctx.channel(), CloseReason.BAD_INPUT);
                 } else {
-                    awaitRest(ctx);
+                    scheduleIncompleteMessageCheck(ctx);
                 }
             }, owner.longestPause(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void take(ByteBuf buf) {
-        int n = buf.readableBytes();
-        received += n;
-        if (to + n > bytes.length) {
-            byte[] target = to - from + n > bytes.length ? new byte[Integer.highestOneBit(to - from + n) * 2] : bytes;
-            System.arraycopy(bytes, from, target, 0, to - from);
+    private void append(ByteBuf data) {
+        int added = data.readableBytes();
+        receivedBytes += added;
+        if (writeIndex + added > bytes.length) {
+            byte[] target = writeIndex - readIndex + added > bytes.length
+                    ? new byte[Integer.highestOneBit(writeIndex - readIndex + added) * 2] : bytes;
+            System.arraycopy(bytes, readIndex, target, 0, writeIndex - readIndex);
             bytes = target;
-            to -= from;
-            from = 0;
+            writeIndex -= readIndex;
+            readIndex = 0;
         }
-        buf.readBytes(bytes, to, n);
-        to += n;
+        data.readBytes(bytes, writeIndex, added);
+        writeIndex += added;
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        LOG.info("{} {} ended {}{}", kind, ctx.channel().remoteAddress(), reason, detail);
+        LOG.info("{} {} ended {}{}", kind, ctx.channel().remoteAddress(), closeReason, closeDetail);
         bytes = Arrays.copyOf(bytes, 0);
-        from = 0;
-        to = 0;
-        owner.ended(ctx.channel(), reason);
+        readIndex = 0;
+        writeIndex = 0;
+        owner.ended(ctx.channel(), closeReason);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof DecoderException) {
-            // Guards against a client whose TLS cannot be read: it ends its connection, in one line.
-            detail = " (" + cause.getMessage() + ")";
+            // A TLS record that cannot be decoded closes the connection with a single log line.
+            closeDetail = " (" + cause.getMessage() + ")";
             close(ctx.channel(), CloseReason.BAD_INPUT);
             return;
         }
--- a/src/main/java/wingspread/net/Newcomers.java
+++ b/src/main/java/wingspread/net/Newcomers.java
@@ -12,61 +12,66 @@
 import wingspread.storm.SurgeDetector;
 
 /**
- * The first handler of a listener: measures what its newcomers cost the loop and takes none in while their budget is
- * spent. Who waits does so in the kernel's queue of the listener; where that is full, the client's machine asks again.
+ * The first handler of a listener: measures how much time of the event loop new connections take, and pauses accepting
+ * while their budget is exhausted. Meanwhile new connections wait in the listener's accept queue in the kernel; if that
+ * is full, the client's TCP stack retransmits its SYN.
  */
 public final class Newcomers extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
-    private static final long LOOK_EVERY = 250_000;
-    private static final double NANOS = 1_000;
+    private static final long SURGE_CHECK_INTERVAL_MICROS = 250_000;
+    private static final double NANOS_PER_MICRO = 1_000;
 
     private final Loop loop;
     private final String kind;
-    private final LoopBudget budget;
-    private final SurgeDetector surges;
+    private final LoopBudget loopBudget;
+    private final SurgeDetector surgeDetector;
     private final Metrics metrics;
     private boolean paused;
-    private boolean looking;
-    private double peak;
-    private double dearestTurn;
-    private double turn;
+    private boolean surgeCheckScheduled;
+    private double peakPerSecond;
+    private double maxTurnMicros;
+    private double turnMicros;
 
-    /** For one listener; {@code kind} names it in the log. */
-    public Newcomers(Loop loop, String kind, ReconnectFigures figures, Metrics metrics) {
+    /**
+     * Creates the handler of one listener.
+     *
+     * @param kind name of the listener in the log
+     */
+    public Newcomers(Loop loop, String kind, ReconnectFigures reconnectParameters, Metrics metrics) {
         this.loop = loop;
         this.kind = kind;
-        this.budget = figures.newcomers(loop.now());
-        this.surges = figures.surges(loop.now());
+        this.loopBudget = reconnectParameters.newcomers(loop.now());
+        this.surgeDetector = reconnectParameters.surges(loop.now());
         this.metrics = metrics;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-        if (surges.arrived(loop.now())) {
-            tell();
+        if (surgeDetector.arrived(loop.now())) {
+            logSurge();
         }
-        if (surges.surge()) {
-            peak = Math.max(peak, surges.perSecond(loop.now()));
+        if (surgeDetector.surge()) {
+            peakPerSecond = Math.max(peakPerSecond, surgeDetector.perSecond(loop.now()));
         }
         metrics.count("taken.connections");
         long before = System.nanoTime();
         ctx.fireChannelRead(accepted);
-        spent(System.nanoTime() - before);
+        recordCost(System.nanoTime() - before);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         ctx.fireChannelReadComplete();
-        dearestTurn = Math.max(dearestTurn, turn);
-        turn = 0;
-        if (!budget.allows(loop.now())) {
+        maxTurnMicros = Math.max(maxTurnMicros, turnMicros);
+        turnMicros = 0;
+        if (!loopBudget.allows(loop.now())) {
             pause(ctx.channel());
         }
     }
 
-    private void spent(long nanos) {
-        turn += nanos / NANOS;
-        budget.spent(loop.now(), nanos / NANOS);
+    private void recordCost(long nanos) {
+        turnMicros += nanos / NANOS_PER_MICRO;
+        loopBudget.spent(loop.now(), nanos / NANOS_PER_MICRO);
     }
 
     private void pause(Channel listener) {
@@ -74,60 +79,60 @@
             paused = true;
             metrics.count("taken.connection-pauses");
             listener.config().setAutoRead(false);
-            loop.at(budget.opensAt(loop.now()), () -> open(listener));
+            loop.at(loopBudget.opensAt(loop.now()), () -> resume(listener));
         }
     }
 
-    private void open(Channel listener) {
+    private void resume(Channel listener) {
         paused = false;
-        // Handshakes may have spent more meanwhile.
-        if (budget.allows(loop.now())) {
+        // Handshakes may have used up the budget again in the meantime.
+        if (loopBudget.allows(loop.now())) {
             listener.config().setAutoRead(true);
         } else {
             pause(listener);
         }
     }
 
-    private void tell() {
+    private void logSurge() {
         long now = loop.now();
-        LOG.atInfo().addKeyValue("reason", surges.surge() ? "RECONNECTS_BEGAN" : "RECONNECTS_ENDED")
-                .addKeyValue("connections", Math.round(surges.perSecond(now)))
-                .addKeyValue("peak", Math.round(Math.max(peak, surges.perSecond(now))))
-                .addKeyValue("usual", Math.round(surges.usualPerSecond(now)))
-                .addKeyValue("dearest-turn-us", Math.round(dearestTurn)).log("{}: newcomers a second", kind);
-        dearestTurn = 0;
-        peak = 0;
-        lookLater();
+        LOG.atInfo().addKeyValue("reason", surgeDetector.surge() ? "RECONNECTS_BEGAN" : "RECONNECTS_ENDED")
+                .addKeyValue("connections", Math.round(surgeDetector.perSecond(now)))
+                .addKeyValue("peak", Math.round(Math.max(peakPerSecond, surgeDetector.perSecond(now))))
+                .addKeyValue("usual", Math.round(surgeDetector.usualPerSecond(now)))
+                .addKeyValue("dearest-turn-us", Math.round(maxTurnMicros)).log("{}: new connections per second", kind);
+        maxTurnMicros = 0;
+        peakPerSecond = 0;
+        scheduleSurgeCheck();
     }
 
-    private void lookLater() {
-        if (!looking && surges.surge()) {
-            looking = true;
-            loop.at(loop.now() + LOOK_EVERY, () -> {
-                looking = false;
-                if (surges.look(loop.now())) {
-                    tell();
+    private void scheduleSurgeCheck() {
+        if (!surgeCheckScheduled && surgeDetector.surge()) {
+            surgeCheckScheduled = true;
+            loop.at(loop.now() + SURGE_CHECK_INTERVAL_MICROS, () -> {
+                surgeCheckScheduled = false;
+                if (surgeDetector.look(loop.now())) {
+                    logSurge();
                 }
-                lookLater();
+                scheduleSurgeCheck();
             });
         }
     }
 
-    /** Charges a newcomer's handshake to the same budget: goes before the handler that does it. */
-    public void meter(Channel newcomer, SslHandler handshake) {
-        ChannelInboundHandlerAdapter meter = new ChannelInboundHandlerAdapter() {
+    /** Charges the TLS handshake of a new connection to the same budget; call this before adding its SSL handler. */
+    public void meter(Channel connection, SslHandler sslHandler) {
+        ChannelInboundHandlerAdapter handshakeMeter = new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
                 long before = System.nanoTime();
                 ctx.fireChannelRead(bytes);
-                spent(System.nanoTime() - before);
+                recordCost(System.nanoTime() - before);
             }
         };
-        newcomer.pipeline().addLast(meter);
-        handshake.handshakeFuture().addListener(done -> {
+        connection.pipeline().addLast(handshakeMeter);
+        sslHandler.handshakeFuture().addListener(done -> {
             metrics.count(done.isSuccess() ? "taken.handshakes" : "taken.handshakes-failed");
-            if (newcomer.pipeline().context(meter) != null) {
-                newcomer.pipeline().remove(meter);
+            if (connection.pipeline().context(handshakeMeter) != null) {
+                connection.pipeline().remove(handshakeMeter);
             }
         });
     }
--- a/src/main/java/wingspread/net/Signals.java
+++ b/src/main/java/wingspread/net/Signals.java
@@ -4,67 +4,74 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Hears the signals of POSIX, through the one class of the platform that does, which javac warns of. */
+/**
+ * Handles POSIX signals. Uses the JDK's {@code sun.misc.Signal}, the only class for this, through reflection because
+ * javac warns of its direct use.
+ */
 public final class Signals {
-    private static final Map<String, Signals> HEARD = new HashMap<>();
+    private static final Map<String, Signals> INSTALLED = new HashMap<>();
 
     private Runnable task;
-    private boolean came;
+    private boolean received;
 
     private Signals() { }
 
     /**
-     * Hears signals from now on; one that comes before its task is given is kept for it. Guards the start: the default
-     * of SIGHUP, which moves the directory, is to end the program.
+     * Installs handlers for signals. A signal that arrives before {@link #on} registers its task is remembered, and the
+     * task runs as soon as it is registered. Call this first at start-up: the default action of SIGHUP, which requests
+     * a change of the directory, would terminate the process.
      *
-     * @param names without SIG, such as {@code TERM}
-     * @throws ReflectiveOperationException where this platform has no such signal
+     * @param names signal names without SIG, such as {@code TERM}
+     * @throws ReflectiveOperationException if the platform does not support one of the signals
      */
     public static void keep(String... names) throws ReflectiveOperationException {
         for (String name : names) {
-            heard(name);
+            install(name);
         }
     }
 
-    /** Runs a task, on a thread of its own, whenever a signal comes; at once where it has come before. */
+    /**
+     * Registers the task that runs on a separate thread whenever the signal arrives. If the signal has arrived before,
+     * the task also runs immediately on the calling thread.
+     */
     public static void on(String name, Runnable task) throws ReflectiveOperationException {
-        Signals signal = heard(name);
+        Signals signal = install(name);
         synchronized (signal) {
             signal.task = task;
-            if (signal.came) {
+            if (signal.received) {
                 task.run();
             }
         }
     }
 
-    private synchronized void come() {
-        came = true;
+    private synchronized void onSignal() {
+        received = true;
         if (task != null) {
             task.run();
         }
     }
 
-    private static synchronized Signals heard(String name) throws ReflectiveOperationException {
-        Signals known = HEARD.get(name);
-        if (known != null) {
-            return known;
+    private static synchronized Signals install(String name) throws ReflectiveOperationException {
+        Signals existing = INSTALLED.get(name);
+        if (existing != null) {
+            return existing;
         }
-        Signals heard = new Signals();
+        Signals installed = new Signals();
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object proxy = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler},
-                (self, method, args) -> switch (method.getName()) {
+                (proxyInstance, method, args) -> switch (method.getName()) {
                     case "handle" -> {
-                        heard.come();
+                        installed.onSignal();
                         yield null;
                     }
-                    case "hashCode" -> System.identityHashCode(self);
-                    case "equals" -> self == args[0];
+                    case "hashCode" -> System.identityHashCode(proxyInstance);
+                    case "equals" -> proxyInstance == args[0];
                     default -> "handler of SIG" + name;
                 });
         signal.getMethod("handle", signal, handler).invoke(null, signal.getConstructor(String.class).newInstance(name),
                 proxy);
-        HEARD.put(name, heard);
-        return heard;
+        INSTALLED.put(name, installed);
+        return installed;
     }
 }
--- a/src/main/java/wingspread/net/UnixClock.java
+++ b/src/main/java/wingspread/net/UnixClock.java
@@ -3,19 +3,23 @@
 import java.time.Instant;
 import java.util.function.LongSupplier;
 
-/** Microseconds since the Unix epoch: the system's clock at the start, then carried on without steps. */
+/**
+ * A clock in microseconds since the Unix epoch that never steps: it reads the system clock once, on creation, and
+ * advances with the monotonic clock from there.
+ */
 public final class UnixClock implements LongSupplier {
-    private final long anchor;
+    private final long anchorMicros;
     private final long anchorNanos;
 
+    /** Creates a clock that starts at the current system time. */
     public UnixClock() {
         Instant now = Instant.now();
         anchorNanos = System.nanoTime();
-        anchor = now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
+        anchorMicros = now.getEpochSecond() * 1_000_000 + now.getNano() / 1_000;
     }
 
     @Override
     public long getAsLong() {
-        return anchor + (System.nanoTime() - anchorNanos) / 1_000;
+        return anchorMicros + (System.nanoTime() - anchorNanos) / 1_000;
     }
 }
--- a/src/test/java/wingspread/link/LinksTest.java
+++ b/src/test/java/wingspread/link/LinksTest.java
@@ -34,30 +34,31 @@
 import wingspread.storm.ReconnectFigures;
 import wingspread.testing.Wire;
 
-/** The links toward a stand-in exchange that vanishes, moves or goes. */
+/** Tests links to a stand-in exchange that becomes unresponsive, resets its connections or leaves the directory. */
 class LinksTest {
     private final AtomicLong clock = new AtomicLong(1_000_000_000);
     private final Loop loop = new Loop(clock::get);
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final Metrics metrics = new Metrics();
-    private volatile int most = 100;
+    private volatile int maxConnections = 100;
     private Links links = links(ReconnectFigures.OFF);
     private ServerSocket listener;
 
-    private Links links(ReconnectFigures figures) {
-        return new Links(loop, 500_000, 0, () -> most, figures, new SplittableRandom(1), events::add, metrics);
+    private Links links(ReconnectFigures reconnectParameters) {
+        return new Links(loop, 500_000, 0, () -> maxConnections, reconnectParameters, new SplittableRandom(1),
+                events::add, metrics);
     }
 
-    /** What the loop finds after all that it was handed before. */
-    private <T> T inLoop(Callable<T> question) throws Exception {
-        return loop.group().submit(question).get(10, TimeUnit.SECONDS);
+    /** Runs a task on the loop after all tasks submitted before, and returns its result. */
+    private <T> T runInLoop(Callable<T> task) throws Exception {
+        return loop.group().submit(task).get(10, TimeUnit.SECONDS);
     }
 
     @BeforeEach
     void listen() throws IOException {
         listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
         listener.setSoTimeout(10_000);
-        list(Readiness.READY);
+        updateDirectory(Readiness.READY);
     }
 
     @AfterEach
@@ -67,9 +68,10 @@
         listener.close();
     }
 
-    private void list(Readiness readiness) {
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
-        loop.execute(() -> links.update(List.of(new Listing("s-1", at, new Exchange(1, 0, 0, 1, readiness, 1, 0)))));
+    private void updateDirectory(Readiness readiness) {
+        InetSocketAddress endpoint = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
+        loop.execute(() -> links.update(List.of(
+                new Listing("s-1", endpoint, new Exchange(1, 0, 0, 1, readiness, 1, 0)))));
     }
 
     private Wire<SipMessage> accept() throws IOException {
@@ -82,144 +84,145 @@
         return attempt;
     }
 
-    private Event event() throws InterruptedException {
+    private Event nextEvent() throws InterruptedException {
         return events.poll(10, TimeUnit.SECONDS);
     }
 
-    /** A set-up on a connection that says nothing is given up so long after it was sent. */
-    private void giveUpAfter(long time, Wire<SipMessage> silent) throws Exception {
+    /** Cancels a set-up on an unresponsive connection this long after it was sent. */
+    private void cancelAfter(long micros, Wire<SipMessage> unresponsive) throws Exception {
         Attempt attempt = invite("a");
-        assertEquals("a", silent.next().callId());
-        clock.addAndGet(time);
+        assertEquals("a", unresponsive.next().callId());
+        clock.addAndGet(micros);
         loop.execute(() -> links.withdraw(attempt));
-        assertEquals("CANCEL", silent.next().method());
+        assertEquals("CANCEL", unresponsive.next().method());
     }
 
     @Test
-    void aSilentConnectionIsReplacedAndTheNextSetUpTakesTheNewOne() throws Exception {
-        try (Wire<SipMessage> silent = accept()) {
-            giveUpAfter(1_500_000, silent);
-            try (Wire<SipMessage> fresh = accept()) {
+    void replacesUnresponsiveConnectionAndSendsNextSetUpOnNewOne() throws Exception {
+        try (Wire<SipMessage> unresponsive = accept()) {
+            cancelAfter(1_500_000, unresponsive);
+            try (Wire<SipMessage> replacement = accept()) {
                 invite("b");
-                assertEquals("b", fresh.next().callId());
-                assertTrue(silent.closed());
+                assertEquals("b", replacement.next().callId());
+                assertTrue(unresponsive.closed());
             }
         }
     }
 
     @Test
-    void aSetUpGivenUpBeforeItsTimeShowsTheSilenceToo() throws Exception {
-        try (Wire<SipMessage> silent = accept()) {
-            giveUpAfter(300_000, silent);
-            try (Wire<SipMessage> fresh = accept()) {
+    void detectsUnresponsiveConnectionWhenSetUpIsCancelledBeforeItsDeadline() throws Exception {
+        try (Wire<SipMessage> unresponsive = accept()) {
+            cancelAfter(300_000, unresponsive);
+            try (Wire<SipMessage> replacement = accept()) {
                 invite("b");
-                assertEquals("b", fresh.next().callId());
+                assertEquals("b", replacement.next().callId());
             }
         }
     }
 
     @Test
-    void aRefusedConnectionProvesTheProcessDownAndThatNothingRan() throws Exception {
+    void reportsExchangeDownAndFailsSetUpWhenConnectIsRefused() throws Exception {
         Wire<SipMessage> connection = accept();
         listener.close();
         connection.reset();
-        assertEquals(new Event.Died(1), event());
+        assertEquals(new Event.Died(1), nextEvent());
         Attempt attempt = invite("a");
-        Event broken = event();
+        Event broken = nextEvent();
         while (broken instanceof Event.Died) {
-            broken = event();
+            broken = nextEvent();
         }
         assertEquals(new Event.Broken(attempt, Status.CONNECT_FAILED), broken);
     }
 
     @Test
-    void aConnectionThatIsResetGivesUpItsSetUps() throws Exception {
+    void endsSetUpsOfResetConnectionAndReconnects() throws Exception {
         Wire<SipMessage> connection = accept();
         Attempt attempt = invite("a");
         connection.next();
         connection.reset();
-        assertEquals(new Event.Broken(attempt, Status.RESET), event());
+        assertEquals(new Event.Broken(attempt, Status.RESET), nextEvent());
         try (Wire<SipMessage> next = accept()) {
             next.send(SipMessage.request("NOTIFY", "sip:g@net").with("X-Gauges", "x0:3;x1:4;queue:-1").encode());
-            Event.Reported reported = (Event.Reported) event();
+            Event.Reported reported = (Event.Reported) nextEvent();
             assertEquals(3, reported.report().free());
             assertTrue(Double.isNaN(reported.report().backlog()));
         }
     }
 
     @Test
-    void anExchangeThatClosesUnheardIsNotConnectedToAgainAtOnce() throws Exception {
+    void delaysReconnectToExchangeThatClosesBeforeSending() throws Exception {
         accept().close();
-        long hour = 3_600_000_000L;
-        links = links(new ReconnectFigures(1, 1, 5, 50, hour, hour, 0));
-        list(Readiness.READY);
+        long hourMicros = 3_600_000_000L;
+        links = links(new ReconnectFigures(1, 1, 5, 50, hourMicros, hourMicros, 0));
+        updateDirectory(Readiness.READY);
         Wire<SipMessage> connection = accept();
         Attempt attempt = invite("a");
         assertEquals("a", connection.next().callId());
-        long before = inLoop(() -> metrics.value("sent.connects"));
+        long before = runInLoop(() -> metrics.value("sent.connects"));
         connection.reset();
-        assertEquals(new Event.Broken(attempt, Status.RESET), event());
-        assertEquals(before, inLoop(() -> metrics.value("sent.connects")));
+        assertEquals(new Event.Broken(attempt, Status.RESET), nextEvent());
+        assertEquals(before, runInLoop(() -> metrics.value("sent.connects")));
     }
 
     @Test
-    void theStartDoesNotWaitForAnExchangeThatTakesAConnectionAndTellsNothing() throws Exception {
+    void startDoesNotWaitForExchangeThatAcceptsConnectionButSendsNothing() throws Exception {
         try (Wire<SipMessage> connection = accept()) {
             invite("a");
             assertEquals("a", connection.next().callId());
-            assertFalse(inLoop(links::settled));
+            assertFalse(runInLoop(links::settled));
             clock.addAndGet(60_000);
-            assertTrue(inLoop(links::settled));
+            assertTrue(runInLoop(links::settled));
         }
     }
 
     @Test
-    void withoutRoomTheIdleLinkThatWasUsedLongestAgoLeavesItsPlaceAndComesBackWhenWanted() throws Exception {
+    void evictsLeastRecentlyUsedIdleLinkAtLimitAndReconnectsItOnDemand() throws Exception {
         Wire<SipMessage> first = accept();
         invite("a");
         first.send(response(first.next()));
-        assertTrue(event() instanceof Event.Rejected);
+        assertTrue(nextEvent() instanceof Event.Rejected);
         assertEquals("ACK", first.next().method());
-        most = 1;
+        maxConnections = 1;
         try (ServerSocket other = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(10_000);
-            InetSocketAddress at = (InetSocketAddress) other.getLocalSocketAddress();
+            InetSocketAddress endpoint = (InetSocketAddress) other.getLocalSocketAddress();
             Exchange exchange = new Exchange(2, 0, 0, 2, Readiness.READY, 1, 0);
-            loop.execute(() -> links.update(List.of(new Listing("s-2", at, exchange))));
-            // Of itself it does not come up; it counts as settled, and a set-up makes the other one leave.
-            assertEquals(1, inLoop(links::open));
+            loop.execute(() -> links.update(List.of(new Listing("s-2", endpoint, exchange))));
+            // At the limit the directory entry alone opens no connection, and start-up does not wait for one; a set-up
+            // evicts the idle link.
+            assertEquals(1, runInLoop(links::open));
             Attempt attempt = AttemptFixture.attempt("b", 2, clock.get(), clock.get() + 1_500_000);
             loop.execute(() -> links.invite(attempt));
             try (Wire<SipMessage> second = new Wire<>(other.accept(), new SipDecoder())) {
                 assertEquals("b", second.next().callId());
                 assertTrue(first.closed());
-                assertEquals(1, inLoop(links::open));
-                // While a set-up is out there, nobody leaves: the next one is told so at once.
-                Attempt without = invite("c");
-                assertEquals(new Event.Broken(without, Status.CONNECT_FAILED), event());
+                assertEquals(1, runInLoop(links::open));
+                // A link with an unanswered set-up is not evicted: the next set-up fails immediately.
+                Attempt failed = invite("c");
+                assertEquals(new Event.Broken(failed, Status.CONNECT_FAILED), nextEvent());
                 second.send(response(SipMessage.request("INVITE", "sip:x@net").with("Call-ID", "b")));
-                assertTrue(event() instanceof Event.Rejected);
+                assertTrue(nextEvent() instanceof Event.Rejected);
                 assertEquals("ACK", second.next().method());
                 invite("d");
-                try (Wire<SipMessage> back = accept()) {
-                    assertEquals("d", back.next().callId());
+                try (Wire<SipMessage> reconnected = accept()) {
+                    assertEquals("d", reconnected.next().callId());
                 }
             }
         }
     }
 
     @Test
-    void twoThatWantRoomInOneTurnTakeThePlacesOfTwoIdleLinks() throws Exception {
+    void evictsTwoIdleLinksForTwoSetUpsInOneTurn() throws Exception {
         accept();
         try (ServerSocket other = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(10_000);
-            InetSocketAddress at = (InetSocketAddress) other.getLocalSocketAddress();
-            List<Listing> listings = LongStream.rangeClosed(2, 4).mapToObj(i -> new Listing("s-" + i, at,
+            InetSocketAddress endpoint = (InetSocketAddress) other.getLocalSocketAddress();
+            List<Listing> listings = LongStream.rangeClosed(2, 4).mapToObj(i -> new Listing("s-" + i, endpoint,
                     new Exchange(i, 0, 0, (int) i, Readiness.READY, 1, 0))).toList();
             loop.execute(() -> links.update(listings.subList(0, 1)));
             other.accept();
-            assertEquals(2, inLoop(links::open));
-            most = 2;
+            assertEquals(2, runInLoop(links::open));
+            maxConnections = 2;
             loop.execute(() -> {
                 links.update(listings.subList(1, 3));
                 links.invite(AttemptFixture.attempt("c", 3, clock.get(), clock.get() + 1_500_000));
@@ -227,54 +230,54 @@
             });
             other.accept();
             other.accept();
-            assertEquals(2, inLoop(links::open));
+            assertEquals(2, runInLoop(links::open));
         }
     }
 
-    private static SipMessage state() {
+    private static SipMessage stateReport() {
         return SipMessage.request("NOTIFY", "sip:g@net").with("X-Gauges", "x0:3;x1:4");
     }
 
     @Test
-    void aCheckOpensAFreshConnectionWhoseFirstWordsAreKnownAsSuchAndTakesThePlaceOfTheOldestIdleOne() throws Exception {
+    void checkOpensNewConnectionMarksItsFirstReportAndReplacesOldestIdleOne() throws Exception {
         Wire<SipMessage> first = accept();
-        first.send(state().encode());
-        assertTrue(((Event.Reported) event()).openedAt() != Event.Reported.UNSOLICITED);
-        first.send(state().encode());
-        assertEquals(Event.Reported.UNSOLICITED, ((Event.Reported) event()).openedAt());
+        first.send(stateReport().encode());
+        assertTrue(((Event.Reported) nextEvent()).openedAt() != Event.Reported.UNSOLICITED);
+        first.send(stateReport().encode());
+        assertEquals(Event.Reported.UNSOLICITED, ((Event.Reported) nextEvent()).openedAt());
         clock.addAndGet(1_500_000);
-        assertTrue(inLoop(() -> links.check(1)));
+        assertTrue(runInLoop(() -> links.check(1)));
         Wire<SipMessage> second = accept();
-        second.send(state().encode());
-        assertEquals(clock.get(), ((Event.Reported) event()).openedAt());
-        // What needs no event of its own shows that the exchange lives, too.
+        second.send(stateReport().encode());
+        assertEquals(clock.get(), ((Event.Reported) nextEvent()).openedAt());
+        // A message that needs no event of its own also shows that the exchange is alive.
         first.send(SipMessage.response(200, "OK").with("Call-ID", "a").with("CSeq", "1 BYE").encode());
-        assertEquals(new Event.Heard(1), event());
-        assertTrue(inLoop(() -> links.check(1)));
+        assertEquals(new Event.Heard(1), nextEvent());
+        assertTrue(runInLoop(() -> links.check(1)));
         assertTrue(first.closed());
         accept().close();
-        assertFalse(inLoop(() -> links.check(2)));
+        assertFalse(runInLoop(() -> links.check(2)));
         second.close();
     }
 
     @Test
-    void aReleaseWaitsForAConnectionThatIsNotSilent() throws Exception {
-        try (Wire<SipMessage> silent = accept()) {
-            giveUpAfter(1_500_000, silent);
-            try (Wire<SipMessage> fresh = accept()) {
+    void queuesReleaseUntilResponsiveConnectionIsOpen() throws Exception {
+        try (Wire<SipMessage> unresponsive = accept()) {
+            cancelAfter(1_500_000, unresponsive);
+            try (Wire<SipMessage> replacement = accept()) {
                 invite("b");
-                assertEquals("b", fresh.next().callId());
+                assertEquals("b", replacement.next().callId());
                 listener.close();
-                fresh.reset();
-                assertTrue(event() instanceof Event.Broken);
+                replacement.reset();
+                assertTrue(nextEvent() instanceof Event.Broken);
             }
         }
-        assertEquals(new Event.Died(1), event());
+        assertEquals(new Event.Died(1), nextEvent());
         loop.execute(() -> links.release(1, "c", 41));
-        try (ServerSocket again = new ServerSocket(listener.getLocalPort(), 8, InetAddress.getLoopbackAddress())) {
-            again.setSoTimeout(10_000);
-            try (Wire<SipMessage> back = new Wire<>(again.accept(), new SipDecoder())) {
-                assertEquals("BYE", back.next().method());
+        try (ServerSocket restarted = new ServerSocket(listener.getLocalPort(), 8, InetAddress.getLoopbackAddress())) {
+            restarted.setSoTimeout(10_000);
+            try (Wire<SipMessage> reconnected = new Wire<>(restarted.accept(), new SipDecoder())) {
+                assertEquals("BYE", reconnected.next().method());
             }
         }
     }
@@ -284,12 +287,12 @@
     }
 
     @Test
-    void anExchangeThatHasGoneIsLeft() throws Exception {
+    void closesConnectionsToRemovedExchange() throws Exception {
         try (Wire<SipMessage> connection = accept()) {
-            list(Readiness.GONE);
+            updateDirectory(Readiness.GONE);
             assertTrue(connection.closed());
             Attempt attempt = invite("a");
-            assertEquals(new Event.Broken(attempt, Status.CONNECT_FAILED), event());
+            assertEquals(new Event.Broken(attempt, Status.CONNECT_FAILED), nextEvent());
         }
     }
 }
--- a/src/test/java/wingspread/net/AdmissionTest.java
+++ b/src/test/java/wingspread/net/AdmissionTest.java
@@ -14,12 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionTest {
-    private static final long LONGEST_MUTE = 1_000;
+    private static final long FIRST_MESSAGE_TIMEOUT_MICROS = 1_000;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final Loop loop = new Loop(clock::get);
     private final Set<Channel> busy = new HashSet<>();
-    private final Admission admission = new Admission(loop, () -> 2, LONGEST_MUTE, channel -> !busy.contains(channel));
+    private final Admission admission = new Admission(loop, () -> 2, FIRST_MESSAGE_TIMEOUT_MICROS,
+            channel -> !busy.contains(channel));
 
     @AfterEach
     void stop() {
@@ -32,15 +33,15 @@
         return channel;
     }
 
-    /** Lets the loop do what it was handed before. */
-    private void settle() throws InterruptedException {
+    /** Waits until the loop has run all tasks submitted before. */
+    private void awaitLoopTasks() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(done::countDown);
         assertTrue(done.await(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void whatNeverSentAMessageMakesRoomOldestFirst() {
+    void evictsOldestConnectionWithoutMessageFirst() {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
         admission.heard(first);
@@ -50,7 +51,7 @@
     }
 
     @Test
-    void thenWhatIsIdleAndWasHeardLongestAgoDoes() {
+    void evictsIdleConnectionWithLeastRecentMessage() {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
         admission.heard(first);
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void whatCarriesACallStaysAndTheNewOneIsTurnedAway() throws Exception {
+    void rejectsNewConnectionWhenAllOthersCarryCalls() throws Exception {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
         admission.heard(first);
@@ -70,22 +71,22 @@
         busy.add(first);
         busy.add(second);
         EmbeddedChannel third = open();
-        settle();
+        awaitLoopTasks();
         third.runPendingTasks();
         assertTrue(first.isOpen() && second.isOpen());
         assertFalse(third.isOpen());
     }
 
     @Test
-    void whatSaysNothingIsClosedInTheEnd() throws Exception {
-        EmbeddedChannel silent = open();
-        EmbeddedChannel heard = open();
-        admission.heard(heard);
+    void closesConnectionWithoutMessageAfterTimeout() throws Exception {
+        EmbeddedChannel withoutMessage = open();
+        EmbeddedChannel active = open();
+        admission.heard(active);
         CountDownLatch closed = new CountDownLatch(1);
-        silent.closeFuture().addListener(f -> closed.countDown());
-        clock.addAndGet(LONGEST_MUTE);
+        withoutMessage.closeFuture().addListener(f -> closed.countDown());
+        clock.addAndGet(FIRST_MESSAGE_TIMEOUT_MICROS);
         assertTrue(closed.await(10, TimeUnit.SECONDS));
-        settle();
-        assertTrue(heard.isOpen());
+        awaitLoopTasks();
+        assertTrue(active.isOpen());
     }
 }
--- a/src/test/java/wingspread/net/DescriptorsTest.java
+++ b/src/test/java/wingspread/net/DescriptorsTest.java
@@ -7,7 +7,7 @@
 
 class DescriptorsTest {
     @Test
-    void callersAlwaysHaveTheirThirdAndBothTogetherStayBelowTheLimit() {
+    void reservesThirdForCallersAndStaysBelowLimitInTotal() {
         for (int limit : new int[] {256, 512, 608, 1_024, 4_096}) {
             Descriptors descriptors = new Descriptors(limit);
             for (int callers = 0; callers <= limit / 3; callers += 7) {
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatExchangesDoNotNeedIdleCallersMayHold() {
+    void grantsCallersWhatExchangesDoNotUse() {
         assertEquals(614, new Descriptors(1_024).forCallers(36));
         assertEquals(341, new Descriptors(1_024).forCallers(1_000));
     }
--- a/src/test/java/wingspread/net/MessageHandlerTest.java
+++ b/src/test/java/wingspread/net/MessageHandlerTest.java
@@ -16,29 +16,29 @@
 import wingspread.json.LineDecoder;
 
 class MessageHandlerTest {
-    private final List<Object> taken = new ArrayList<>();
-    private boolean owed;
-    private int mostPauses = 1;
+    private final List<Object> events = new ArrayList<>();
+    private boolean replyPending;
+    private int maxPauses = 1;
     private final EmbeddedChannel channel = new EmbeddedChannel(new MessageHandler<>("test", new LineDecoder(),
             new MessageHandler.Owner<Map<?, ?>>() {
                 @Override
                 public void received(Channel from, Map<?, ?> message) {
-                    taken.add(message);
+                    events.add(message);
                 }
 
                 @Override
                 public void ended(Channel from, CloseReason reason) {
-                    taken.add(reason);
+                    events.add(reason);
                 }
 
                 @Override
                 public int mostPauses() {
-                    return mostPauses;
+                    return maxPauses;
                 }
 
                 @Override
                 public boolean owes(Channel from) {
-                    return owed;
+                    return replyPending;
                 }
             }));
 
@@ -46,21 +46,21 @@
         channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     }
 
-    private void pass(long milliseconds) {
+    private void advanceTime(long milliseconds) {
         channel.advanceTimeBy(milliseconds, TimeUnit.MILLISECONDS);
         channel.runPendingTasks();
     }
 
     @Test
-    void aMessageThatStopsShortEndsItsConnection() {
+    void closesConnectionOnIncompleteMessage() {
         read("{}\n{\"op\":");
-        pass(1_000);
-        assertEquals(List.of(Map.of(), CloseReason.BAD_INPUT), taken);
+        advanceTime(1_000);
+        assertEquals(List.of(Map.of(), CloseReason.BAD_INPUT), events);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void itIsBusyWhileAMessageIsThereInPartOrALineIsNotSent() {
+    void isBusyWhileMessageIsIncompleteOrWriteIsUnsent() {
         assertFalse(MessageHandler.busy(channel));
         read("{");
         assertTrue(MessageHandler.busy(channel));
@@ -73,59 +73,59 @@
     }
 
     @Test
-    void aMessageThatComesSlowlyIsTakenButNotForEver() {
-        mostPauses = 25;
+    void acceptsSlowMessageUpToLimitOfPauses() {
+        maxPauses = 25;
         for (String piece : "{\"slow\":\"writer\"}\n".split("")) {
             read(piece);
-            pass(300);
+            advanceTime(300);
         }
-        assertEquals(List.of(Map.of("slow", "writer")), taken);
+        assertEquals(List.of(Map.of("slow", "writer")), events);
         read("{");
         int pieces = 0;
         while (channel.isOpen() && pieces < 100) {
             read(" ");
-            pass(300);
+            advanceTime(300);
             pieces++;
         }
         assertTrue(pieces > 25 && pieces <= 60, pieces + " pieces");
     }
 
-    /** What comes after a message that has stopped short must not be swallowed for long: it may be a release. */
+    /** Messages after a truncated one are lost until the connection is closed, and one of them may be a release. */
     @Test
-    void whatFollowsAMessageThatStopsShortDoesNotProlongIt() {
+    void bytesAfterTruncatedMessageDoNotProlongIt() {
         read("{");
         for (int i = 0; i < 4; i++) {
-            pass(99);
+            advanceTime(99);
             read(" ");
         }
-        pass(99);
+        advanceTime(99);
         assertFalse(channel.isOpen());
     }
 
-    /** An answer is owed on the connection: it is closed for the message that stops short once that is given. */
+    /** The connection is closed for its incomplete message only after the pending reply has been sent. */
     @Test
-    void whileSomethingIsOwedAMessageThatStopsShortClosesNothing() {
-        owed = true;
+    void keepsConnectionWithIncompleteMessageWhileReplyIsPending() {
+        replyPending = true;
         read("{\"op\":");
         for (int i = 0; i < 10; i++) {
-            pass(400);
+            advanceTime(400);
         }
         assertTrue(channel.isOpen());
-        owed = false;
-        pass(400);
+        replyPending = false;
+        advanceTime(400);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aMessageWhoseRestComesIsTakenAndTheNextHasItsOwnTime() {
+    void timesEachMessageSeparately() {
         read("{");
-        pass(300);
+        advanceTime(300);
         read("}\n{");
-        pass(300);
+        advanceTime(300);
         assertTrue(channel.isOpen());
         read("}\n");
-        pass(1_000);
-        assertEquals(List.of(Map.of(), Map.of()), taken);
+        advanceTime(1_000);
+        assertEquals(List.of(Map.of(), Map.of()), events);
         assertTrue(channel.isOpen());
     }
 }
--- a/src/test/java/wingspread/net/NewcomersTest.java
+++ b/src/test/java/wingspread/net/NewcomersTest.java
@@ -21,11 +21,11 @@
 import wingspread.metrics.Metrics;
 import wingspread.storm.ReconnectFigures;
 
-/** Callers who all connect at once, on sockets. */
+/** Tests many callers that connect at the same moment, on real sockets. */
 class NewcomersTest {
-    private static final int MANY = 300;
-    /** A listener may spend a hundredth of the loop's time, so that few are let in at once. */
-    private static final ReconnectFigures TIGHT = new ReconnectFigures(0.01, 1, 5, 50, 1, 1, 0);
+    private static final int CONNECTION_COUNT = 300;
+    /** Accepting may take 1 % of the loop's time, so that few connections are accepted at once. */
+    private static final ReconnectFigures SMALL_BUDGET = new ReconnectFigures(0.01, 1, 5, 50, 1, 1, 0);
 
     private final Loop loop = new Loop(new UnixClock());
     private final Metrics metrics = new Metrics();
@@ -39,15 +39,15 @@
         loop.stop();
     }
 
-    private long counted(String name) throws Exception {
+    private long counterValue(String name) throws Exception {
         return CompletableFuture.supplyAsync(() -> metrics.value(name), loop::execute).get(20, TimeUnit.SECONDS);
     }
 
     @Test
-    void allAreTakenInThoughFewAtATime() throws Exception {
-        CountDownLatch taken = new CountDownLatch(MANY);
+    void acceptsAllConnectionsInSmallBatches() throws Exception {
+        CountDownLatch remaining = new CountDownLatch(CONNECTION_COUNT);
         Channel listener = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
-                .handler(new Newcomers(loop, "test", TIGHT, metrics))
+                .handler(new Newcomers(loop, "test", SMALL_BUDGET, metrics))
                 .childHandler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public boolean isSharable() {
@@ -56,19 +56,19 @@
 
                     @Override
                     public void channelActive(ChannelHandlerContext ctx) {
-                        taken.countDown();
+                        remaining.countDown();
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
         InetSocketAddress address = (InetSocketAddress) listener.localAddress();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < CONNECTION_COUNT; i++) {
             sockets.add(new Socket(address.getAddress(), address.getPort()));
         }
-        assertTrue(taken.await(30, TimeUnit.SECONDS), taken.getCount() + " were never taken in");
-        assertEquals(MANY, counted("taken.connections"));
-        long pauses = counted("taken.connection-pauses");
-        // The kernel hands out at most sixteen between two looks at the budget.
-        assertTrue(pauses >= MANY / 16 - 1, pauses + " pauses");
+        assertTrue(remaining.await(30, TimeUnit.SECONDS), remaining.getCount() + " were never accepted");
+        assertEquals(CONNECTION_COUNT, counterValue("taken.connections"));
+        long pauses = counterValue("taken.connection-pauses");
+        // At most 16 connections are accepted between two checks of the budget.
+        assertTrue(pauses >= CONNECTION_COUNT / 16 - 1, pauses + " pauses");
         listener.close().sync();
     }
 }
--- a/src/test/java/wingspread/net/SignalsTest.java
+++ b/src/test/java/wingspread/net/SignalsTest.java
@@ -8,20 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 class SignalsTest {
-    private static void raise(String name) throws Exception {
+    private static void sendSignal(String name) throws Exception {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(ProcessHandle.current().pid())).start();
         assertEquals(0, kill.waitFor());
     }
 
-    /** The default of SIGWINCH is to do nothing: one that is not kept would be lost. */
+    /** The default action of SIGWINCH is to ignore it, so a signal without an installed handler would be lost. */
     @Test
-    void aSignalThatComesBeforeItsTaskIsKeptForIt() throws Exception {
+    void remembersSignalThatArrivesBeforeItsTask() throws Exception {
         Signals.keep("WINCH");
-        raise("WINCH");
-        Semaphore heard = new Semaphore(0);
-        Signals.on("WINCH", heard::release);
-        assertTrue(heard.tryAcquire(10, TimeUnit.SECONDS));
-        raise("WINCH");
-        assertTrue(heard.tryAcquire(10, TimeUnit.SECONDS));
+        sendSignal("WINCH");
+        Semaphore runs = new Semaphore(0);
+        Signals.on("WINCH", runs::release);
+        assertTrue(runs.tryAcquire(10, TimeUnit.SECONDS));
+        sendSignal("WINCH");
+        assertTrue(runs.tryAcquire(10, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
+++ b/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
@@ -36,11 +36,13 @@
                         "if (!exchanges.mayFallSilent()) {", "if (ending || !ending) {"),
                         Set.of(FaultKind.VANISH), Rule.RELEASE_TOLD),
                 Arguments.of(new PlantedBuild("the first piece of a message is lost", "net/MessageHandler.java",
-                        "awaitRest(ctx);\n                    return;", "from = to;\n                    return;"),
+                        "scheduleIncompleteMessageCheck(ctx);\n                    return;",
+                        "readIndex = writeIndex;\n                    return;"),
                         Set.of(FaultKind.SLOW_WRITER), Rule.ONE_ANSWER),
                 Arguments.of(new PlantedBuild("descriptors of connections that say nothing leak", "net/Admission.java",
-                        "boolean room = mute.size() + heard.size() < most.getAsInt() || makeRoom();",
-                        "boolean room = true;"),
+                        "boolean hasCapacity = awaitingFirstMessage.size() + active.size() < maxConnections.getAsInt()"
+                                + " || evictOne();",
+                        "boolean hasCapacity = true;"),
                         Set.of(FaultKind.CROWD), Rule.PROCESS));
     }
 
