--- a/src/main/java/wingspread/link/Link.java
+++ b/src/main/java/wingspread/link/Link.java
@@ -69,6 +69,7 @@
     private int pendingChecks;
     private boolean reconnectScheduled;
     private boolean closed;
+    /** Whether a connect has failed or was not possible at the limit of connections. */
     private boolean connectFailed;
     private boolean stateReported;
     private long lastUsedAt;
@@ -138,8 +139,8 @@
     }
 
     /**
-     * Whether the link has open connections and all of them are idle: no attempt is in progress or waiting, and no
-     * message has been partly received or not yet been flushed.
+     * Whether the link has open connections and all of them are idle: no attempt is in progress or waiting, no message
+     * has been received in part, and all written data has been sent.
      */
     boolean idle() {
         return !connections.isEmpty() && waitingAttempts.isEmpty() && connections.entrySet().stream()
@@ -165,7 +166,7 @@
 
     // Requests of the planner.
 
-    /** Sends a set-up, or queues it until a connection is open. */
+    /** Sends a set-up, or queues it until a connection is open; the set-up fails if the queue is full. */
     void invite(Attempt attempt) {
         Channel channel = newestResponsive();
         if (channel != null) {
--- a/src/main/java/wingspread/net/DatagramHandler.java
+++ b/src/main/java/wingspread/net/DatagramHandler.java
@@ -25,16 +25,16 @@
     }
 
     private final String kind;
-    private final Owner owner;
+    private final Owner listener;
 
     /**
      * Creates a handler.
      *
      * @param kind name of the endpoint in the log
      */
-    public DatagramHandler(String kind, Owner owner) {
+    public DatagramHandler(String kind, Owner listener) {
         this.kind = kind;
-        this.owner = owner;
+        this.listener = listener;
     }
 
     @Override
@@ -43,7 +43,7 @@
         byte[] bytes = new byte[content.readableBytes()];
         content.readBytes(bytes);
         try {
-            owner.received(ctx, bytes, packet.sender());
+            listener.received(ctx, bytes, packet.sender());
         } catch (BadInput e) {
             LOG.info("{} {} dropped {} ({})", kind, packet.sender(), CloseReason.BAD_INPUT, e.getMessage());
         }
--- a/src/main/java/wingspread/net/Descriptors.java
+++ b/src/main/java/wingspread/net/Descriptors.java
@@ -14,15 +14,16 @@
     private static final double MAX_CALLER_SHARE = 0.6;
     private static final int MIN_CONNECTIONS = 4;
 
-    /** Returns the maximum number of caller connections while {@code toExchanges} connections to exchanges are open. */
-    public int forCallers(int toExchanges) {
+    /** Returns the maximum number of caller connections while this many connections to exchanges are open. */
+    public int forCallers(int exchangeConnections) {
         return Math.max(guaranteedForCallers(),
-                Math.min((int) (limit * MAX_CALLER_SHARE), limit - OTHER_DESCRIPTORS - toExchanges));
+                Math.min((int) (limit * MAX_CALLER_SHARE), limit - OTHER_DESCRIPTORS - exchangeConnections));
     }
 
-    /** Returns the maximum number of connections to exchanges while callers hold {@code ofCallers} connections. */
-    public int forExchanges(int ofCallers) {
-        return Math.max(MIN_CONNECTIONS, limit - OTHER_DESCRIPTORS - Math.max(guaranteedForCallers(), ofCallers));
+    /** Returns the maximum number of connections to exchanges while callers hold this many connections. */
+    public int forExchanges(int callerConnections) {
+        return Math.max(MIN_CONNECTIONS,
+                limit - OTHER_DESCRIPTORS - Math.max(guaranteedForCallers(), callerConnections));
     }
 
     private int guaranteedForCallers() {
--- a/src/main/java/wingspread/net/MessageHandler.java
+++ b/src/main/java/wingspread/net/MessageHandler.java
@@ -15,13 +15,19 @@
 /**
  * Handles one stream connection: splits the received bytes into messages, limits both the incomplete input and the
  * unsent output, and logs the end of the connection in a single line.
+ *
+ * @param <M> type of the messages
  */
 public final class MessageHandler<M> extends ChannelInboundHandlerAdapter {
     /** Unsent bytes above which a connection is closed because the peer does not read. */
     private static final long MAX_UNSENT_BYTES = 1 << 20;
     private static final Logger LOG = LoggerFactory.getLogger("connection");
 
-    /** Receives the messages and the end of a connection. */
+    /**
+     * Receives the messages and the end of a connection.
+     *
+     * @param <M> type of the messages
+     */
     public interface Owner<M> {
         /**
          * Processes a complete message.
@@ -57,7 +63,7 @@
 
     private final String kind;
     private final FrameDecoder<M> decoder;
-    private final Owner<M> owner;
+    private final Owner<M> listener;
     private byte[] bytes = new byte[1024];
     private int readIndex;
     private int writeIndex;
@@ -69,10 +75,15 @@
     private CloseReason closeReason = CloseReason.PEER_CLOSED;
     private String closeDetail = "";
 
-    public MessageHandler(String kind, FrameDecoder<M> decoder, Owner<M> owner) {
+    /**
+     * Creates the handler of one connection.
+     *
+     * @param kind name of the peer in the log
+     */
+    public MessageHandler(String kind, FrameDecoder<M> decoder, Owner<M> listener) {
         this.kind = kind;
         this.decoder = decoder;
-        this.owner = owner;
+        this.listener = listener;
     }
 
     /** Closes a connection and logs this reason with its end. */
@@ -112,14 +123,14 @@
         }
         try {
             while (ctx.channel().isActive()) {
-                FrameDecoder.Step<M> step = decoder.next(bytes, readIndex, writeIndex);
-                readIndex += step.used();
-                if (step.message() == null) {
+                FrameDecoder.Step<M> decoded = decoder.next(bytes, readIndex, writeIndex);
+                readIndex += decoded.used();
+                if (decoded.message() == null) {
                     scheduleIncompleteMessageCheck(ctx);
                     return;
                 }
                 messageCount++;
-                owner.received(ctx.channel(), step.message());
+                listener.received(ctx.channel(), decoded.message());
             }
         } catch (BadInput e) {
             closeDetail = " (" + e.getMessage() + ")";
@@ -141,14 +152,14 @@
                 checkScheduled = false;
                 incompletePauses = messageCount > messageCountBefore ? 0 : incompletePauses + 1;
                 boolean timedOut = writeIndex > readIndex && messageCount == messageCountBefore
-                        && (receivedBytes == receivedBytesBefore || incompletePauses >= owner.mostPauses());
-                if (timedOut && !owner.owes(ctx.channel())) {
+                        && (receivedBytes == receivedBytesBefore || incompletePauses >= listener.mostPauses());
+                if (timedOut && !listener.owes(ctx.channel())) {
                     closeDetail = " (incomplete message)";
                     close(ctx.channel(), CloseReason.BAD_INPUT);
                 } else {
                     scheduleIncompleteMessageCheck(ctx);
                 }
-            }, owner.longestPause(), TimeUnit.MILLISECONDS);
+            }, listener.longestPause(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -173,7 +184,7 @@
         bytes = Arrays.copyOf(bytes, 0);
         readIndex = 0;
         writeIndex = 0;
-        owner.ended(ctx.channel(), closeReason);
+        listener.ended(ctx.channel(), closeReason);
     }
 
     @Override
--- a/src/test/java/wingspread/net/MessageHandlerTest.java
+++ b/src/test/java/wingspread/net/MessageHandlerTest.java
@@ -18,7 +18,7 @@
 class MessageHandlerTest {
     private final List<Object> events = new ArrayList<>();
     private boolean replyPending;
-    private int maxPauses = 1;
+    private int pauseLimit = 1;
     private final EmbeddedChannel channel = new EmbeddedChannel(new MessageHandler<>("test", new LineDecoder(),
             new MessageHandler.Owner<Map<?, ?>>() {
                 @Override
@@ -33,7 +33,7 @@
 
                 @Override
                 public int mostPauses() {
-                    return maxPauses;
+                    return pauseLimit;
                 }
 
                 @Override
@@ -74,7 +74,7 @@
 
     @Test
     void acceptsSlowMessageUpToLimitOfPauses() {
-        maxPauses = 25;
+        pauseLimit = 25;
         for (String piece : "{\"slow\":\"writer\"}\n".split("")) {
             read(piece);
             advanceTime(300);
