--- a/src/main/java/wingspread/net/Newcomers.java
+++ b/src/main/java/wingspread/net/Newcomers.java
@@ -36,6 +36,7 @@
      * Creates the handler of one listener.
      *
      * @param kind name of the listener in the log
+     * @param reconnectParameters budget of the loop's time for new connections, and the thresholds of a surge
      */
     public Newcomers(Loop loop, String kind, ReconnectFigures reconnectParameters, Metrics metrics) {
         this.loop = loop;
--- a/src/test/java/wingspread/net/AdmissionTest.java
+++ b/src/test/java/wingspread/net/AdmissionTest.java
@@ -18,9 +18,9 @@
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final Loop loop = new Loop(clock::get);
-    private final Set<Channel> busy = new HashSet<>();
+    private final Set<Channel> channelsWithCalls = new HashSet<>();
     private final Admission admission = new Admission(loop, () -> 2, FIRST_MESSAGE_TIMEOUT_MICROS,
-            channel -> !busy.contains(channel));
+            channel -> !channelsWithCalls.contains(channel));
 
     @AfterEach
     void stop() {
@@ -68,8 +68,8 @@
         EmbeddedChannel second = open();
         admission.heard(first);
         admission.heard(second);
-        busy.add(first);
-        busy.add(second);
+        channelsWithCalls.add(first);
+        channelsWithCalls.add(second);
         EmbeddedChannel third = open();
         awaitLoopTasks();
         third.runPendingTasks();
--- a/src/test/java/wingspread/net/MessageHandlerTest.java
+++ b/src/test/java/wingspread/net/MessageHandlerTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void isBusyWhileMessageIsIncompleteOrWriteIsUnsent() {
+    void hasPendingDataWhileMessageIsIncompleteOrWriteIsUnsent() {
         assertFalse(MessageHandler.busy(channel));
         read("{");
         assertTrue(MessageHandler.busy(channel));
@@ -92,7 +92,7 @@
 
     /** Messages after a truncated one are lost until the connection is closed, and one of them may be a release. */
     @Test
-    void bytesAfterTruncatedMessageDoNotProlongIt() {
+    void bytesAfterTruncatedMessageDoNotExtendItsDeadline() {
         read("{");
         for (int i = 0; i < 4; i++) {
             advanceTime(99);
