--- a/src/main/java/wingspread/json/Json.java
+++ b/src/main/java/wingspread/json/Json.java
@@ -8,14 +8,14 @@
 import wingspread.net.BadInput;
 
 /**
- * Reads and writes JSON (RFC 8259) as bytes. Strings hold one char for each byte, so that text of any
- * encoding passes unchanged; an escape above ASCII becomes the bytes of its UTF-8 form.
+ * Parses and writes JSON (RFC 8259) as bytes. Strings hold one char per byte, so that text of any encoding passes
+ * through unchanged; an escape sequence for a character above ASCII becomes the bytes of its UTF-8 form.
  */
 public final class Json {
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
 
     private final byte[] text;
-    private int at;
+    private int position;
     private int depth;
 
     private Json(byte[] text) {
@@ -23,21 +23,21 @@
     }
 
     /**
-     * One value: a {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} or null.
+     * Parses one value: a {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} or null.
      *
-     * @throws BadInput where the text is not one JSON value
+     * @throws BadInput if the text is not exactly one JSON value
      */
     public static Object parse(byte[] text) throws BadInput {
         Json json = new Json(text);
         Object value = json.value();
-        json.space();
-        if (json.at < text.length) {
-            throw json.bad("text after the value");
+        json.skipWhitespace();
+        if (json.position < text.length) {
+            throw json.error("unexpected text after the value");
         }
         return value;
     }
 
-    /** Appends a quoted string whose chars are bytes. */
+    /** Appends a quoted string whose chars each hold one byte. */
     public static void quote(StringBuilder out, String bytes) {
         out.append('"');
         for (int i = 0; i < bytes.length(); i++) {
@@ -60,72 +60,72 @@
     }
 
     private Object value() throws BadInput {
-        space();
+        skipWhitespace();
         return switch (peek()) {
             case '{' -> object();
             case '[' -> array();
             case '"' -> string();
-            case 't' -> word("true", Boolean.TRUE);
-            case 'f' -> word("false", Boolean.FALSE);
-            case 'n' -> word("null", null);
+            case 't' -> literal("true", Boolean.TRUE);
+            case 'f' -> literal("false", Boolean.FALSE);
+            case 'n' -> literal("null", null);
             default -> number();
         };
     }
 
     private Map<String, Object> object() throws BadInput {
         Map<String, Object> out = new LinkedHashMap<>();
-        open();
-        if (closes('}')) {
+        enter();
+        if (consumeEnd('}')) {
             return out;
         }
         do {
-            space();
+            skipWhitespace();
             if (peek() != '"') {
-                throw bad("a name was expected");
+                throw error("expected a member name");
             }
             String name = string();
-            space();
+            skipWhitespace();
             expect(':');
             if (out.containsKey(name)) {
-                throw bad("a name stands twice");
+                throw error("duplicate member name");
             }
             out.put(name, value());
-        } while (another('}'));
+        } while (hasNextElement('}'));
         return out;
     }
 
     private List<Object> array() throws BadInput {
         List<Object> out = new ArrayList<>();
-        open();
-        if (closes(']')) {
+        enter();
+        if (consumeEnd(']')) {
             return out;
         }
         do {
             out.add(value());
-        } while (another(']'));
+        } while (hasNextElement(']'));
         return out;
     }
 
-    /** Guards against text nested so deep that it would exhaust the stack. */
-    private void open() throws BadInput {
-        at++;
-        if (++depth > DEEPEST) {
-            throw bad("nested too deep");
+    /** Enters an object or array. Limits the depth, as deeper nesting could exhaust the stack. */
+    private void enter() throws BadInput {
+        position++;
+        if (++depth > MAX_DEPTH) {
+            throw error("nesting too deep");
         }
     }
 
-    private boolean closes(char end) throws BadInput {
-        space();
+    private boolean consumeEnd(char end) throws BadInput {
+        skipWhitespace();
         if (peek() != end) {
             return false;
         }
-        at++;
+        position++;
         depth--;
         return true;
     }
 
-    private boolean another(char end) throws BadInput {
-        if (closes(end)) {
+    private boolean hasNextElement(char end) throws BadInput {
+        if (consumeEnd(end)) {
             return false;
         }
         expect(',');
@@ -134,15 +134,15 @@
 
     private String string() throws BadInput {
         StringBuilder out = new StringBuilder();
-        at++;
+        position++;
         while (true) {
             int c = peek();
-            at++;
+            position++;
             if (c == '"') {
                 return out.toString();
             }
             if (c < ' ') {
-                throw bad("a control character stands in a string");
+                throw error("control character in a string");
             }
             if (c == '\\') {
                 escape(out);
@@ -154,7 +154,7 @@
 
     private void escape(StringBuilder out) throws BadInput {
         int c = peek();
-        at++;
+        position++;
         switch (c) {
             case '"', '\\', '/' -> out.append((char) c);
             case 'b' -> out.append('\b');
@@ -163,22 +163,22 @@
             case 'r' -> out.append('\r');
             case 't' -> out.append('\t');
             case 'u' -> unicode(out);
-            default -> throw bad("an unknown escape");
+            default -> throw error("unknown escape sequence");
         }
     }
 
     private void unicode(StringBuilder out) throws BadInput {
         int point = hex4();
-        if (Character.isHighSurrogate((char) point) && at + 1 < text.length && text[at] == '\\'
-                && text[at + 1] == 'u') {
-            at += 2;
+        if (Character.isHighSurrogate((char) point) && position + 1 < text.length && text[position] == '\\'
+                && text[position + 1] == 'u') {
+            position += 2;
             int low = hex4();
             if (!Character.isLowSurrogate((char) low)) {
-                throw bad("half a surrogate pair");
+                throw error("unpaired surrogate");
             }
             point = Character.toCodePoint((char) point, (char) low);
         } else if (point >= Character.MIN_SURROGATE && point <= Character.MAX_SURROGATE) {
-            throw bad("half a surrogate pair");
+            throw error("unpaired surrogate");
         }
         byte[] utf8 = Character.toString(point).getBytes(StandardCharsets.UTF_8);
         out.append(new String(utf8, StandardCharsets.ISO_8859_1));
@@ -189,54 +189,54 @@
         for (int i = 0; i < 4; i++) {
             int digit = Character.digit(peek(), 16);
             if (digit < 0) {
-                throw bad("a bad \\u escape");
+                throw error("invalid \\u escape");
             }
             out = out << 4 | digit;
-            at++;
+            position++;
         }
         return out;
     }
 
     private Double number() throws BadInput {
-        int from = at;
-        while (at < text.length && "+-.eE0123456789".indexOf(text[at]) >= 0) {
-            at++;
+        int start = position;
+        while (position < text.length && "+-.eE0123456789".indexOf(text[position]) >= 0) {
+            position++;
         }
         try {
-            return Double.valueOf(new String(text, from, at - from, StandardCharsets.ISO_8859_1));
+            return Double.valueOf(new String(text, start, position - start, StandardCharsets.ISO_8859_1));
         } catch (NumberFormatException e) {
-            throw bad("no value");
+            throw error("invalid value");
         }
     }
 
-    private Object word(String word, Object value) throws BadInput {
-        for (int i = 0; i < word.length(); i++) {
-            expect(word.charAt(i));
+    private Object literal(String literal, Object value) throws BadInput {
+        for (int i = 0; i < literal.length(); i++) {
+            expect(literal.charAt(i));
         }
         return value;
     }
 
     private void expect(char c) throws BadInput {
         if (peek() != c) {
-            throw bad("'" + c + "' was expected");
+            throw error("expected '" + c + "'");
         }
-        at++;
+        position++;
     }
 
     private int peek() throws BadInput {
-        if (at >= text.length) {
-            throw bad("the text ends early");
+        if (position >= text.length) {
+            throw error("unexpected end of input");
         }
-        return text[at] & 0xff;
+        return text[position] & 0xff;
     }
 
-    private void space() {
-        while (at < text.length && " \t\r\n".indexOf(text[at]) >= 0) {
-            at++;
+    private void skipWhitespace() {
+        while (position < text.length && " \t\r\n".indexOf(text[position]) >= 0) {
+            position++;
         }
     }
 
-    private BadInput bad(String what) {
-        return new BadInput("JSON: " + what + " at byte " + at);
+    private BadInput error(String problem) {
+        return new BadInput("JSON: " + problem + " at byte " + position);
     }
 }
--- a/src/main/java/wingspread/json/LineDecoder.java
+++ b/src/main/java/wingspread/json/LineDecoder.java
@@ -5,7 +5,7 @@
 import wingspread.net.BadInput;
 import wingspread.net.FrameDecoder;
 
-/** Cuts lines out of a stream, each one JSON object. */
+/** Decodes a stream of lines, each of which is one JSON object. */
 public final class LineDecoder implements FrameDecoder<Map<?, ?>> {
     @Override
     public Step<Map<?, ?>> next(byte[] bytes, int from, int to) throws BadInput {
@@ -13,9 +13,9 @@
         while (end < to && bytes[end] != '\n') {
             end++;
         }
-        // Guards against a line without an end, which would be kept for ever.
+        // Without this limit, a line without an end would be buffered forever.
         if (end - from > MAX_FRAME) {
-            throw new BadInput("JSON lines: a line of over " + MAX_FRAME + " bytes");
+            throw new BadInput("JSON lines: line longer than " + MAX_FRAME + " bytes");
         }
         if (end == to) {
             return new Step<>(null, 0);
@@ -23,6 +23,6 @@
         if (Json.parse(Arrays.copyOfRange(bytes, from, end)) instanceof Map<?, ?> message) {
             return new Step<>(message, end + 1 - from);
         }
-        throw new BadInput("JSON lines: a line that is no object");
+        throw new BadInput("JSON lines: line is not a JSON object");
     }
 }
--- a/src/test/java/wingspread/json/LineDecoderTest.java
+++ b/src/test/java/wingspread/json/LineDecoderTest.java
@@ -12,6 +12,7 @@
 import wingspread.net.BadInput;
 import wingspread.testing.Fuzz;
 
+/** Decoding of JSON lines, valid, cut into pieces and malformed. */
 class LineDecoderTest {
     private static final String OFFER = "{\"op\":\"offer\",\"call\":\"9b1f03aa5c7e2d41\",\"with\":{\"left\":1500.5,"
             + "\"a\":[true,false,null,-1e3]},\"desc\":\"\\u00e9\\ud83d\\ude00\\r\\n\\\"\\\\\\/ \u00c3\"}\n";
@@ -22,21 +23,21 @@
     }
 
     @Property(tries = 300, seed = "21")
-    void aStreamReadsTheSameHoweverItIsCut(@ForAll long seed) throws BadInput {
-        List<Map<?, ?>> read = Fuzz.cut(decoder, bytes(OFFER + OFFER), seed);
-        assertEquals(2, read.size());
-        assertEquals(read.get(0), read.get(1));
-        assertEquals("\u00c3\u00a9\u00f0\u009f\u0098\u0080\r\n\"\\/ \u00c3", read.get(0).get("desc"));
-        assertEquals(1500.5, ((Map<?, ?>) read.get(0).get("with")).get("left"));
+    void decodesStreamCutAtAnyPosition(@ForAll long seed) throws BadInput {
+        List<Map<?, ?>> messages = Fuzz.cut(decoder, bytes(OFFER + OFFER), seed);
+        assertEquals(2, messages.size());
+        assertEquals(messages.get(0), messages.get(1));
+        assertEquals("\u00c3\u00a9\u00f0\u009f\u0098\u0080\r\n\"\\/ \u00c3", messages.get(0).get("desc"));
+        assertEquals(1500.5, ((Map<?, ?>) messages.get(0).get("with")).get("left"));
     }
 
     @Property(tries = 2000, seed = "22")
-    boolean whatIsSpoiltIsTakenOrTurnedAway(@ForAll long seed) {
-        return Fuzz.takesOrTurnsAway(b -> decoder.next(b, 0, b.length), Fuzz.spoil(bytes(OFFER), seed));
+    boolean decodesOrRejectsCorruptedLine(@ForAll long seed) {
+        return Fuzz.takesOrTurnsAway(line -> decoder.next(line, 0, line.length), Fuzz.spoil(bytes(OFFER), seed));
     }
 
     @Property(tries = 300, seed = "23")
-    boolean whatIsQuotedReadsTheSame(@ForAll byte[] any) throws BadInput {
+    boolean quotedStringParsesToTheSame(@ForAll byte[] any) throws BadInput {
         String text = new String(any, StandardCharsets.ISO_8859_1);
         StringBuilder quoted = new StringBuilder();
         Json.quote(quoted, text);
@@ -44,7 +45,7 @@
     }
 
     @Test
-    void whatIsNoLineOfOursIsTurnedAway() {
+    void rejectsMalformedLines() {
         for (String text : List.of("[]\n", "{}x\n", "{\"a\":1,\"a\":2}\n", "{\"a\":\"\\ud800\"}\n", "\n",
                 "x".repeat(17_000), "[".repeat(500) + "\n")) {
             assertThrows(BadInput.class, () -> decoder.next(bytes(text), 0, text.length()));
