--- a/src/main/java/wingspread/directory/Directory.java
+++ b/src/main/java/wingspread/directory/Directory.java
@@ -28,101 +28,113 @@
 import wingspread.net.DatagramHandler;
 import wingspread.net.Loop;
 
-/** The sockets to the directory, over UDP and TCP. What is asked and when, a {@link DirectoryClient} decides. */
+/**
+ * The sockets to the directory, over UDP and TCP. {@link DirectoryClient} decides which queries are sent and when.
+ */
 public final class Directory {
     private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
-    /** The longest message there can be, over UDP and over TCP. */
-    private static final int LONGEST_ANSWER = 65_535;
-    private static final int TCP_CONNECT_MS = 500;
+    /** Maximum size of a DNS message, over UDP and over TCP. */
+    private static final int MAX_MESSAGE_BYTES = 65_535;
+    private static final int TCP_CONNECT_TIMEOUT_MS = 500;
 
     private final Loop loop;
     private final DirectoryClient client;
-    /** Where the directory is asked; null before the first. */
+    /** The UDP channel to the directory server; null until the first server has been set. */
     private Channel server;
 
+    /**
+     * Creates a directory client that has no server yet.
+     *
+     * @param zones names of the zones; the position of a name is the zone's index
+     * @param kinds names of the kinds of exchange; the position of a name is the kind's index
+     * @param seed seed of the random query ids
+     * @param listener receives the cached list and every later change
+     */
     public Directory(Loop loop, List<String> zones, List<String> kinds, long seed,
-            BiConsumer<ListKind, List<Listing>> told) {
+            BiConsumer<ListKind, List<Listing>> listener) {
         this.loop = loop;
-        this.client = new DirectoryClient(new Roster(zones, kinds), new SplittableRandom(seed), new Sockets(), told);
+        this.client = new DirectoryClient(new Roster(zones, kinds), new SplittableRandom(seed), new SocketTransport(),
+                listener);
     }
 
-    /** Takes the events of the start, as the configuration keeps them. */
-    public void known(Map<?, ?> known) {
-        client.known(known);
+    /** Loads the cached list of exchanges from the configuration. */
+    public void known(Map<?, ?> cached) {
+        client.loadCached(cached);
     }
 
     /**
-     * Asks the directory at this address from now on, in place of the one asked before; the list and its serial
-     * number carry on. Guards against an address that cannot be used: the one before it is then asked further.
+     * Switches to the directory server at this address. The list and its serial number are kept. If the address cannot
+     * be used, the client continues to query the previous server.
      */
     public void follow(InetSocketAddress address) {
         new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
-                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST_ANSWER))
-                .handler(new DatagramHandler("directory", (ctx, bytes, sender) -> client.heard(loop.now(), bytes)))
+                .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES))
+                .handler(new DatagramHandler("directory",
+                        (ctx, bytes, sender) -> client.handleMessage(loop.now(), bytes)))
                 .connect(address)
-                .addListener((ChannelFuture f) -> {
-                    if (f.isSuccess()) {
-                        Channel before = server;
-                        server = f.channel();
-                        if (before != null) {
-                            before.close();
+                .addListener((ChannelFuture future) -> {
+                    if (future.isSuccess()) {
+                        Channel previous = server;
+                        server = future.channel();
+                        if (previous != null) {
+                            previous.close();
                         }
-                        LOG.info("the directory is asked at {}", address);
-                        ask(server);
+                        LOG.info("querying the directory at {}", address);
+                        queryPeriodically(server);
                     } else {
-                        LOG.error("the directory cannot be asked at {}: {}", address, f.cause().toString());
+                        LOG.error("cannot query the directory at {}: {}", address, future.cause().toString());
                     }
                 });
     }
 
-    private void ask(Channel channel) {
+    private void queryPeriodically(Channel channel) {
         if (channel == server) {
-            client.ask(loop.now());
-            loop.at(loop.now() + DirectoryClient.ASK_EVERY, () -> ask(channel));
+            client.queryList(loop.now());
+            loop.at(loop.now() + DirectoryClient.QUERY_INTERVAL_MICROS, () -> queryPeriodically(channel));
         }
     }
 
-    /** Sends the client's questions. */
-    private final class Sockets implements DirectoryClient.Transport {
+    /** Sends the queries of the client over UDP and TCP. */
+    private final class SocketTransport implements DirectoryClient.Transport {
         @Override
-        public void send(byte[] question) {
-            server.writeAndFlush(Unpooled.wrappedBuffer(question));
+        public void send(byte[] query) {
+            server.writeAndFlush(Unpooled.wrappedBuffer(query));
         }
 
         @Override
-        public void sendOverTcp(byte[] question) {
+        public void sendOverTcp(byte[] query) {
             new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TCP_CONNECT_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TCP_CONNECT_TIMEOUT_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel channel) {
-                            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(LONGEST_ANSWER, 0, 2, 0, 2),
-                                    new LengthFieldPrepender(2), new OneAnswer());
+                            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, 2, 0, 2),
+                                    new LengthFieldPrepender(2), new TcpResponseHandler());
                         }
                     })
                     .connect(server.remoteAddress())
-                    .addListener((ChannelFuture f) -> {
-                        if (f.isSuccess()) {
-                            loop.at(loop.now() + DirectoryClient.TCP_TAKES - TCP_CONNECT_MS * 1_000L,
-                                    f.channel()::close);
-                            f.channel().writeAndFlush(Unpooled.wrappedBuffer(question))
+                    .addListener((ChannelFuture future) -> {
+                        if (future.isSuccess()) {
+                            loop.at(loop.now() + DirectoryClient.TCP_TIMEOUT_MICROS - TCP_CONNECT_TIMEOUT_MS * 1_000L,
+                                    future.channel()::close);
+                            future.channel().writeAndFlush(Unpooled.wrappedBuffer(query))
                                     .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
                         }
                     });
         }
     }
 
-    /** Reads the one answer of a connection. */
-    private final class OneAnswer extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Reads the single response on a TCP connection and closes the connection. */
+    private final class TcpResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf answer) {
-            client.heard(loop.now(), ByteBufUtil.getBytes(answer));
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf response) {
+            client.handleMessage(loop.now(), ByteBufUtil.getBytes(response));
             ctx.close();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            client.unreadable(cause.toString());
+            client.handleDecodeError(cause.toString());
             ctx.close();
         }
     }
--- a/src/main/java/wingspread/directory/DirectoryClient.java
+++ b/src/main/java/wingspread/directory/DirectoryClient.java
@@ -12,186 +12,200 @@
 import wingspread.net.BadInput;
 
 /**
- * What is asked of the directory and when, and what its answers change. The list is asked for at a fixed pace whatever
- * becomes of the questions before; an answer that is cut short is asked for again over TCP (RFC 7766); hosts that an
- * answer names without their address or facts are asked for one by one. What is wrong with the answers is logged once
- * with a reason code, and once that it is over. No question waits for another and none is waited for longer than a
- * second, so that a change is told well within 6 s of the directory having it and being reachable.
+ * Queries the directory and applies its responses to the list of exchanges. The list is queried at a fixed interval,
+ * regardless of the outcome of earlier queries. A truncated response is queried again over TCP (RFC 7766), and hosts
+ * that a response lists without their address or attributes are queried one by one. A fault in the responses is logged
+ * once with a reason code, and its end is logged once. No query waits for the response to another, except that one TCP
+ * query may be in progress for up to 1.1 s. A change is therefore reported well within 6 s of the directory having it
+ * and being reachable.
  *
  * <p>Times are microseconds on the host's clock. Free of I/O; confined to the loop.
  */
 final class DirectoryClient {
-    /** Asked so often that a lost datagram is made up for well within the time in which news counts as told. */
-    static final long ASK_EVERY = 300_000;
-    /** A question over TCP has so long for its connect and its answer; then the next one may be asked. */
-    static final long TCP_TAKES = 1_100_000;
-    /** A host is not asked for again sooner: its answers may be on their way. */
-    private static final long ASK_HOST_EVERY = 600_000;
-    /** Answers are taken for so long: a slow directory must be heard, and its list is dated by its serial number. */
-    private static final long ANSWERS_TAKEN = 8_000_000;
+    /** Short enough that a lost datagram is made up for well within the 6 s in which a change must be reported. */
+    static final long QUERY_INTERVAL_MICROS = 300_000;
+    /** Time allowed for the connect and the response of a query over TCP, after which the next one may be sent. */
+    static final long TCP_TIMEOUT_MICROS = 1_100_000;
+    /** Minimum interval between two queries for one host, as responses to the first may still be in flight. */
+    private static final long HOST_QUERY_INTERVAL_MICROS = 600_000;
     /**
-     * Hosts asked for with one answer, two questions each; the others' turn comes with the next. So many that a
-     * thousand new ones are learnt within the time in which news counts as told, though a tenth of the datagrams is
-     * lost.
+     * Time for which a response is accepted. It is long, so that a slow directory is still usable; a late list cannot
+     * replace a newer one, because each list carries a serial number.
      */
-    private static final int MOST_HOSTS = 256;
-    private static final int MOST_QUESTIONS = 8_192;
-    /** Questions in a row without an answer, after which the log says so. */
-    private static final int SILENT_AFTER = 8;
+    private static final long RESPONSE_TIMEOUT_MICROS = 8_000_000;
+    /**
+     * Hosts queried after one response, with up to two queries each; the remaining ones follow after the next response.
+     * Large enough that a thousand new hosts are resolved within the 6 s in which a change must be reported, even if a
+     * tenth of the datagrams is lost.
+     */
+    private static final int MAX_HOSTS_PER_RESPONSE = 256;
+    private static final int MAX_PENDING_QUERIES = 8_192;
+    /** Consecutive list queries without a response after which the directory is logged as unresponsive. */
+    private static final int MAX_UNANSWERED_QUERIES = 8;
     private static final String SERVICE = "_back._tcp.pool.lan";
     private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
 
-    /** The way to the directory. */
+    /** Sends queries to the directory. */
     interface Transport {
-        /** Sends a question over UDP. */
-        void send(byte[] question);
+        /** Sends a query over UDP. */
+        void send(byte[] query);
 
-        /** Sends a question over a TCP connection of its own, which ends with its answer or after a while. */
-        void sendOverTcp(byte[] question);
+        /** Sends a query over a new TCP connection, which is closed after the response or after a time-out. */
+        void sendOverTcp(byte[] query);
     }
 
-    /** A question that may still be answered; {@code host} is null where it is for the list. */
-    private record Question(String host, long askedAt) { }
+    /**
+     * A query that may still be answered.
+     *
+     * @param host the host queried; null for a query for the list
+     * @param sentAt when the query was sent, in microseconds
+     */
+    private record PendingQuery(String host, long sentAt) { }
 
     private final Roster roster;
     private final SplittableRandom random;
     private final Transport transport;
-    private final BiConsumer<ListKind, List<Listing>> told;
-    /** By id, oldest first. */
-    private final Map<Integer, Question> questions = new LinkedHashMap<>();
-    /** When each host was asked for last, oldest first; as long as it may not be asked again. */
-    private final Map<String, Long> hostsAsked = new LinkedHashMap<>();
-    private long tcpUntil = Long.MIN_VALUE;
-    private int unanswered;
-    /** What is wrong with the answers now; empty for nothing. */
-    private String fault = "";
+    private final BiConsumer<ListKind, List<Listing>> listener;
+    /** Queries that may still be answered, keyed by id, oldest first. */
+    private final Map<Integer, PendingQuery> pendingQueries = new LinkedHashMap<>();
+    /** When each host was last queried, oldest first; an entry is kept while the host may not be queried again. */
+    private final Map<String, Long> hostQueryTimes = new LinkedHashMap<>();
+    private long tcpBusyUntil = Long.MIN_VALUE;
+    private int unansweredQueries;
+    /** Reason code of the present fault in the responses; empty for none. */
+    private String faultCode = "";
 
     DirectoryClient(Roster roster, SplittableRandom random, Transport transport,
-            BiConsumer<ListKind, List<Listing>> told) {
+            BiConsumer<ListKind, List<Listing>> listener) {
         this.roster = roster;
         this.random = random;
         this.transport = transport;
-        this.told = told;
+        this.listener = listener;
     }
 
-    /** Takes the events of the start, as the configuration keeps them. */
-    void known(Map<?, ?> known) {
-        roster.known(known);
-        told.accept(ListKind.CACHED, roster.present());
+    /** Loads the cached list of exchanges from the configuration and reports it. */
+    void loadCached(Map<?, ?> cached) {
+        roster.loadCached(cached);
+        listener.accept(ListKind.CACHED, roster.entries());
     }
 
-    /** Asks for the list. */
-    void ask(long now) {
-        if (++unanswered > SILENT_AFTER) {
-            fault("SILENT", "no answer to " + SILENT_AFTER + " questions");
+    /** Sends a query for the list. */
+    void queryList(long now) {
+        if (++unansweredQueries > MAX_UNANSWERED_QUERIES) {
+            reportFault("SILENT", "no response to " + MAX_UNANSWERED_QUERIES + " queries");
         }
-        transport.send(DnsMessage.query(newQuestion(null, now), SERVICE, DnsMessage.SRV));
+        transport.send(DnsMessage.query(registerQuery(null, now), SERVICE, DnsMessage.SRV));
     }
 
-    private int newQuestion(String host, long now) {
-        Iterator<Question> oldest = questions.values().iterator();
+    private int registerQuery(String host, long now) {
+        Iterator<PendingQuery> oldest = pendingQueries.values().iterator();
         while (oldest.hasNext()) {
-            if (oldest.next().askedAt() + ANSWERS_TAKEN > now && questions.size() < MOST_QUESTIONS) {
+            if (oldest.next().sentAt() + RESPONSE_TIMEOUT_MICROS > now
+                    && pendingQueries.size() < MAX_PENDING_QUERIES) {
                 break;
             }
             oldest.remove();
         }
         int id = random.nextInt(1 << 16);
-        while (questions.containsKey(id)) {
+        while (pendingQueries.containsKey(id)) {
             id = random.nextInt(1 << 16);
         }
-        questions.put(id, new Question(host, now));
+        pendingQueries.put(id, new PendingQuery(host, now));
         return id;
     }
 
-    /** Takes what came over either way; what is no answer to a question of ours is left alone. */
-    void heard(long now, byte[] bytes) {
+    /** Handles a message received over UDP or TCP. A message that answers no pending query is ignored. */
+    void handleMessage(long now, byte[] bytes) {
         try {
-            answer(now, DnsMessage.parse(bytes));
+            handleResponse(now, DnsMessage.parse(bytes));
         } catch (BadInput e) {
-            fault("BAD_INPUT", e.getMessage());
+            reportFault("BAD_INPUT", e.getMessage());
         }
     }
 
-    /** What came over TCP was no message. */
-    void unreadable(String what) {
-        fault("BAD_INPUT", what);
+    /** Records that the data received over TCP was not a valid message. */
+    void handleDecodeError(String detail) {
+        reportFault("BAD_INPUT", detail);
     }
 
-    private void answer(long now, DnsMessage message) throws BadInput {
-        Question question = questions.get(message.id());
-        if (question == null) {
+    private void handleResponse(long now, DnsMessage message) throws BadInput {
+        PendingQuery query = pendingQueries.get(message.id());
+        if (query == null) {
             return;
         }
-        if (question.host() != null) {
-            questions.remove(message.id());
-            learn(question.host(), message);
+        if (query.host() != null) {
+            pendingQueries.remove(message.id());
+            handleHostResponse(query.host(), message);
             return;
         }
-        unanswered = 0;
-        if (message.code() != 0) {
-            fault("REFUSED", "response code " + message.code());
+        unansweredQueries = 0;
+        if (message.responseCode() != 0) {
+            reportFault("REFUSED", "response code " + message.responseCode());
             return;
         }
-        list(now, message);
+        handleList(now, message);
     }
 
-    private void learn(String host, DnsMessage message) {
-        if (message.code() != 0) {
+    private void handleHostResponse(String host, DnsMessage message) {
+        if (message.responseCode() != 0) {
             return;
         }
-        roster.learn(host, message);
-        if (message.question() == DnsMessage.TXT) {
-            roster.learnNoFacts(host);
+        roster.addHostRecords(host, message);
+        if (message.questionType() == DnsMessage.TXT) {
+            roster.markWithoutAttributes(host);
         }
     }
 
-    /** Takes a list: what is not in the whole list has gone, what is not in a part of it has not. */
-    private void list(long now, DnsMessage message) throws BadInput {
-        Roster.Reading reading = roster.read(message);
-        for (Listing change : reading.changes()) {
-            LOG.info("directory {}: {} at {} is {}, started {}", roster.serial(), change.uid(), change.endpoint(),
-                    change.exchange().readiness(), change.exchange().upSince());
+    /**
+     * Applies a list. Exchanges missing from a complete list are removed; those missing from a truncated one are kept.
+     */
+    private void handleList(long now, DnsMessage message) throws BadInput {
+        Roster.Update update = roster.applyResponse(message);
+        for (Listing change : update.changes()) {
+            LOG.info("directory {}: exchange {} at {} is {}, started at {}", roster.serial(), change.uid(),
+                    change.endpoint(), change.exchange().readiness(), change.exchange().upSince());
         }
-        if (!reading.changes().isEmpty()) {
-            told.accept(ListKind.DELTA, reading.changes());
+        if (!update.changes().isEmpty()) {
+            listener.accept(ListKind.DELTA, update.changes());
         }
         if (message.truncated()) {
-            fault("TRUNCATED", message.records().size() + " records; what they lack is taken to be as it was");
-            askWhole(now);
-        } else if (!reading.lacking().isEmpty()) {
-            fault("LACKING", reading.lacking().size() + " hosts without address or facts, as "
-                    + reading.lacking().iterator().next());
-            hostsAsked.values().removeIf(askedAt -> askedAt + ASK_HOST_EVERY <= now);
-            reading.lacking().stream().filter(host -> !hostsAsked.containsKey(host)).limit(MOST_HOSTS)
-                    .forEach(host -> askHost(host, now));
+            reportFault("TRUNCATED", message.records().size()
+                    + " records; exchanges missing from them are kept unchanged");
+            queryListOverTcp(now);
+        } else if (!update.incompleteHosts().isEmpty()) {
+            reportFault("LACKING", update.incompleteHosts().size()
+                    + " hosts without address or attributes, for example "
+                    + update.incompleteHosts().iterator().next());
+            hostQueryTimes.values().removeIf(sentAt -> sentAt + HOST_QUERY_INTERVAL_MICROS <= now);
+            update.incompleteHosts().stream().filter(host -> !hostQueryTimes.containsKey(host))
+                    .limit(MAX_HOSTS_PER_RESPONSE).forEach(host -> queryHost(host, now));
         } else {
-            fault("", "");
+            reportFault("", "");
         }
     }
 
-    private void askHost(String host, long now) {
-        hostsAsked.put(host, now);
-        for (int type : roster.missing(host)) {
-            transport.send(DnsMessage.query(newQuestion(host, now), host, type));
+    private void queryHost(String host, long now) {
+        hostQueryTimes.put(host, now);
+        for (int type : roster.missingRecordTypes(host)) {
+            transport.send(DnsMessage.query(registerQuery(host, now), host, type));
         }
     }
 
-    private void askWhole(long now) {
-        if (now >= tcpUntil) {
-            tcpUntil = now + TCP_TAKES;
-            transport.sendOverTcp(DnsMessage.query(newQuestion(null, now), SERVICE, DnsMessage.SRV));
+    private void queryListOverTcp(long now) {
+        if (now >= tcpBusyUntil) {
+            tcpBusyUntil = now + TCP_TIMEOUT_MICROS;
+            transport.sendOverTcp(DnsMessage.query(registerQuery(null, now), SERVICE, DnsMessage.SRV));
         }
     }
 
-    /** Logs what is wrong when that changes. */
-    private void fault(String code, String what) {
-        if (!fault.equals(code)) {
-            fault = code;
+    /** Logs the fault in the responses when its code changes; an empty code logs the end of the fault. */
+    private void reportFault(String code, String detail) {
+        if (!faultCode.equals(code)) {
+            faultCode = code;
             if (code.isEmpty()) {
-                LOG.info("the directory answers in good order again");
+                LOG.info("directory responses are valid again");
             } else {
-                LOG.warn("directory {}: the answers are {} ({}); the last list stays", roster.serial(), code, what);
+                LOG.warn("directory {}: responses are {} ({}); keeping the last list", roster.serial(), code, detail);
             }
         }
     }
--- a/src/main/java/wingspread/directory/DnsMessage.java
+++ b/src/main/java/wingspread/directory/DnsMessage.java
@@ -8,8 +8,18 @@
 import java.util.Locale;
 import wingspread.net.BadInput;
 
-/** The part of DNS (RFC 1035, RFC 2782) that the directory speaks: one question, and records of five types. */
-public record DnsMessage(int id, int code, boolean truncated, int question, List<DnsMessage.Record> records) {
+/**
+ * A response of the directory in the subset of DNS (RFC 1035, RFC 2782) that it uses: one question, and records of the
+ * types A, SOA, TXT and SRV; records of other types are skipped.
+ *
+ * @param id id of the query that this message answers
+ * @param responseCode the response code (RCODE); 0 for no error
+ * @param truncated whether the message is marked as truncated, so that records may be missing
+ * @param questionType type of the records queried; 0 if the message repeats no question
+ * @param records the records of all sections, in their order
+ */
+public record DnsMessage(int id, int responseCode, boolean truncated, int questionType,
+        List<DnsMessage.Record> records) {
     static final int A = 1;
     private static final int SOA = 6;
     static final int TXT = 16;
@@ -17,29 +27,29 @@
     private static final int CLASS_IN = 1;
     private static final int RESPONSE = 0x8000;
     private static final int TRUNCATED = 0x0200;
-    private static final int MOST_JUMPS = 32;
-    private static final int LONGEST_NAME = 255;
+    private static final int MAX_POINTERS = 32;
+    private static final int MAX_NAME_LENGTH = 255;
 
-    /** A record of an answer. */
+    /** A resource record of a response. */
     public sealed interface Record { }
 
-    /** Where a service is to be had. */
+    /** An SRV record: the location of a service. */
     public record Srv(int priority, int weight, int port, String target) implements Record { }
 
-    /** An address. */
+    /** An A record: the IPv4 address of a host. */
     public record Address(String name, byte[] bytes) implements Record { }
 
-    /** Texts about a name. */
+    /** A TXT record: the character strings of a name. */
     public record Text(String name, List<String> texts) implements Record { }
 
-    /** The authority's serial number. */
+    /** A SOA record, of which only the serial number of the zone is kept. */
     public record Soa(long serial) implements Record { }
 
-    /** A query for the records of a type under a name. */
+    /** Encodes a query for the records of a type under a name. */
     public static byte[] query(int id, String name, int type) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        byte[] head = ByteBuffer.allocate(12).putShort((short) id).putShort((short) 0).putShort((short) 1).array();
-        out.writeBytes(head);
+        byte[] header = ByteBuffer.allocate(12).putShort((short) id).putShort((short) 0).putShort((short) 1).array();
+        out.writeBytes(header);
         for (String label : name.split("\\.")) {
             out.write(label.length());
             out.writeBytes(label.getBytes(StandardCharsets.US_ASCII));
@@ -49,89 +59,93 @@
     }
 
     /**
-     * Reads an answer. One that is marked as truncated holds the records that are there whole.
+     * Parses a response. A message that is marked as truncated may hold fewer records than its header announces, but
+     * must end at the end of a record.
      *
-     * @throws BadInput where it is malformed, or cut short without being marked so
+     * @throws BadInput if the message is malformed, or is cut short without being marked as truncated
      */
     public static DnsMessage parse(byte[] bytes) throws BadInput {
         Reader in = new Reader(bytes);
         int id = in.u16();
         int flags = in.u16();
         if ((flags & RESPONSE) == 0) {
-            throw new BadInput("DNS: no response");
+            throw new BadInput("DNS: message is not a response");
         }
         boolean truncated = (flags & TRUNCATED) != 0;
         int questions = in.u16();
         int count = in.u16() + in.u16() + in.u16();
-        int question = 0;
+        int questionType = 0;
         for (int i = 0; i < questions; i++) {
             in.name();
-            question = in.u16();
+            questionType = in.u16();
             in.skip(2);
         }
         List<Record> records = new ArrayList<>();
-        for (int i = 0; i < count && !(truncated && in.ended()); i++) {
+        for (int i = 0; i < count && !(truncated && in.atEnd()); i++) {
             in.record(records);
         }
-        return new DnsMessage(id, flags & 15, truncated, question, List.copyOf(records));
+        return new DnsMessage(id, flags & 15, truncated, questionType, List.copyOf(records));
     }
 
-    /** Walks over a message's bytes. */
+    /** Reads a message sequentially. */
     private static final class Reader {
         private final byte[] bytes;
-        private int at;
+        private int position;
 
         Reader(byte[] bytes) {
             this.bytes = bytes;
         }
 
-        boolean ended() {
-            return at == bytes.length;
+        boolean atEnd() {
+            return position == bytes.length;
         }
 
         int u8() throws BadInput {
-            if (at >= bytes.length) {
-                throw new BadInput("DNS: the message ends early");
+            if (position >= bytes.length) {
+                throw new BadInput("DNS: unexpected end of message");
             }
-            return bytes[at++] & 0xff;
+            return bytes[position++] & 0xff;
         }
 
         int u16() throws BadInput {
             return u8() << 8 | u8();
         }
 
-        void skip(int n) throws BadInput {
-            if (n > bytes.length - at) {
-                throw new BadInput("DNS: the message ends early");
+        void skip(int length) throws BadInput {
+            if (length > bytes.length - position) {
+                throw new BadInput("DNS: unexpected end of message");
             }
-            at += n;
+            position += length;
         }
 
-        /** A name, which may end in a pointer; guards against pointers that run in a circle. */
+        /**
+         * Reads a name, which may end in a compression pointer. Limits the number of pointers followed, as malformed
+         * ones may form a loop.
+         */
         String name() throws BadInput {
             StringBuilder out = new StringBuilder();
-            int back = -1;
-            int jumps = 0;
+            int resumeAt = -1;
+            int pointers = 0;
             for (int length = u8(); length != 0; length = u8()) {
                 if (length >= 0xc0) {
                     int target = (length & 0x3f) << 8 | u8();
-                    back = back < 0 ? at : back;
-                    if (++jumps > MOST_JUMPS || target >= bytes.length) {
-                        throw new BadInput("DNS: a bad pointer in a name");
+                    resumeAt = resumeAt < 0 ? position : resumeAt;
+                    if (++pointers > MAX_POINTERS || target >= bytes.length) {
+                        throw new BadInput("DNS: invalid compression pointer in a name");
                     }
-                    at = target;
-                } else if (length > 63 || out.length() + length > LONGEST_NAME) {
-                    throw new BadInput("DNS: a bad name");
+                    position = target;
+                } else if (length > 63 || out.length() + length > MAX_NAME_LENGTH) {
+                    throw new BadInput("DNS: label or name too long");
                 } else {
                     out.append(out.length() == 0 ? "" : ".").append(text(length));
                 }
             }
-            at = back < 0 ? at : back;
+            position = resumeAt < 0 ? position : resumeAt;
             return out.toString().toLowerCase(Locale.ROOT);
         }
 
         String text(int length) throws BadInput {
-            int from = at;
+            int from = position;
             skip(length);
             return new String(bytes, from, length, StandardCharsets.ISO_8859_1);
         }
@@ -141,9 +155,9 @@
             int type = u16();
             skip(6);
             int length = u16();
-            int end = at + length;
+            int end = position + length;
             if (end > bytes.length) {
-                throw new BadInput("DNS: the message ends inside a record");
+                throw new BadInput("DNS: record extends past the end of the message");
             }
             switch (type) {
                 case SRV -> out.add(new Srv(u16(), u16(), u16(), name()));
@@ -153,7 +167,7 @@
                 }
                 case TXT -> {
                     List<String> texts = new ArrayList<>();
-                    while (at < end) {
+                    while (position < end) {
                         texts.add(text(u8()));
                     }
                     out.add(new Text(name, List.copyOf(texts)));
@@ -162,12 +176,12 @@
                     name();
                     name();
                     out.add(new Soa((long) u16() << 16 | u16()));
-                    at = end;
+                    position = end;
                 }
-                default -> at = end;
+                default -> position = end;
             }
-            if (at != end) {
-                throw new BadInput("DNS: a record of a wrong length");
+            if (position != end) {
+                throw new BadInput("DNS: record data does not match the record length");
             }
         }
     }
--- a/src/main/java/wingspread/directory/Listing.java
+++ b/src/main/java/wingspread/directory/Listing.java
@@ -4,26 +4,32 @@
 import wingspread.control.CallControl.Exchange;
 import wingspread.control.CallControl.Readiness;
 
-/** One exchange as the directory tells it: its line for the module, and where it listens. */
+/**
+ * An exchange as listed by the directory.
+ *
+ * @param uid unique id of the exchange, in lower case
+ * @param endpoint address at which the exchange accepts connections
+ * @param exchange the entry of the exchange in the list of the control module
+ */
 public record Listing(String uid, InetSocketAddress endpoint, Exchange exchange) {
     /**
-     * Whether another says the same; false for none. Guards the start: what a record compares by itself is linked field
-     * by field at run time, which takes 30 ms of it.
+     * Whether another entry, which may be null, has the same values. Compares the fields explicitly, because the
+     * generated {@code equals} of a record is linked field by field at run time, which adds 30 ms to the start.
      */
-    boolean same(Listing other) {
+    boolean sameAs(Listing other) {
         if (other == null) {
             return false;
         }
-        Exchange a = exchange;
-        Exchange b = other.exchange;
-        return uid.equals(other.uid) && endpoint.equals(other.endpoint) && a.address() == b.address()
-                && a.zone() == b.zone() && a.kind() == b.kind() && a.place() == b.place()
-                && a.readiness() == b.readiness() && Double.compare(a.weight(), b.weight()) == 0
-                && a.upSince() == b.upSince();
+        Exchange own = exchange;
+        Exchange others = other.exchange;
+        return uid.equals(other.uid) && endpoint.equals(other.endpoint) && own.address() == others.address()
+                && own.zone() == others.zone() && own.kind() == others.kind() && own.place() == others.place()
+                && own.readiness() == others.readiness() && Double.compare(own.weight(), others.weight()) == 0
+                && own.upSince() == others.upSince();
     }
 
-    /** The same exchange, gone. */
-    Listing gone() {
+    /** Returns this entry with the exchange marked as removed from the directory. */
+    Listing asRemoved() {
         return new Listing(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
                 exchange.place(), Readiness.GONE, exchange.weight(), exchange.upSince()));
     }
--- a/src/main/java/wingspread/directory/Roster.java
+++ b/src/main/java/wingspread/directory/Roster.java
@@ -18,88 +18,88 @@
 import wingspread.net.BadInput;
 
 /**
- * The list of exchanges, and what an answer of the directory changes in it. Exchanges are told apart by their uid,
- * since an address may pass from one to the next; each uid has a number of ours. An answer that is cut short adds and
- * changes, but what it lacks has not gone; a service record without its address or its facts stays as it was known, or
- * is left out until they are learnt. Free of I/O.
+ * The list of exchanges, to which the responses of the directory are applied. Exchanges are identified by their uid,
+ * since an address may pass from one exchange to another; each uid is assigned a local number. A truncated response
+ * adds and changes exchanges but removes none. An SRV record whose address or attributes are missing keeps the values
+ * last known for the exchange, or is skipped until they have been queried. Free of I/O.
  */
 final class Roster {
-    /** Hosts whose records were asked for one by one, and which are remembered; the oldest is forgotten. */
-    private static final int MOST_LEARNT = 4_096;
+    /** Maximum number of individually queried hosts that are kept; the oldest entry is evicted. */
+    private static final int MAX_RESOLVED_HOSTS = 4_096;
 
     private final List<String> zones;
     private final List<String> kinds;
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<String, Listing> present = new LinkedHashMap<>();
-    private final Map<String, Host> learnt = new LinkedHashMap<>();
+    private final Map<String, Long> exchangeNumbers = new HashMap<>();
+    private final Map<String, Listing> entries = new LinkedHashMap<>();
+    private final Map<String, HostRecords> resolvedHosts = new LinkedHashMap<>();
     private long lastNumber;
     private long serial;
-    /** The highest number of any answer, also of one that could not be taken whole. */
-    private long newest;
+    /** Highest serial number of any response, including truncated and incomplete ones. */
+    private long newestSerial;
 
-    /** What is known of a host; null where nothing was said. */
-    private static final class Host {
+    /** The address and the TXT attributes of a host; each is null while it is unknown. */
+    private static final class HostRecords {
         byte[] address;
-        Map<String, String> facts;
+        Map<String, String> attributes;
     }
 
     /**
-     * What an answer changed.
+     * The result of applying a response.
      *
-     * @param changes exchanges that came, changed or went
-     * @param lacking hosts whose address or facts the answer does not hold and nobody knows
+     * @param changes exchanges that were added, changed or removed
+     * @param incompleteHosts hosts whose address or attributes are neither in the response nor known
      */
-    record Reading(List<Listing> changes, Set<String> lacking) { }
+    record Update(List<Listing> changes, Set<String> incompleteHosts) { }
 
     Roster(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
-    /** All that are present. */
-    List<Listing> present() {
-        return List.copyOf(present.values());
+    /** Returns the exchanges in the list. */
+    List<Listing> entries() {
+        return List.copyOf(entries.values());
     }
 
-    /** Number of the last event that the list holds. */
+    /** Returns the serial number of the last list that was applied completely. */
     long serial() {
         return serial;
     }
 
-    /** Takes the events of the start, as the configuration keeps them. */
-    void known(Map<?, ?> known) {
-        if (known.get("notices") instanceof List<?> notices) {
+    /** Loads the cached list from the configuration. */
+    void loadCached(Map<?, ?> cached) {
+        if (cached.get("notices") instanceof List<?> notices) {
             for (Object notice : notices) {
                 if (notice instanceof Map<?, ?> map && map.get("pool") instanceof Map<?, ?> pool) {
-                    apply(pool);
+                    applyCached(pool);
                 }
             }
         }
-        if (known.get("rev") instanceof Double rev) {
+        if (cached.get("rev") instanceof Double rev) {
             serial = rev.longValue();
         }
     }
 
-    private void apply(Map<?, ?> pool) {
+    private void applyCached(Map<?, ?> pool) {
         if (Boolean.TRUE.equals(pool.get("all"))) {
-            present.clear();
+            entries.clear();
         }
         if (pool.get("targets") instanceof List<?> targets) {
             for (Object target : targets) {
                 if (target instanceof Map<?, ?> map) {
-                    note(fromJson(map));
+                    store(fromJson(map));
                 }
             }
         }
     }
 
-    /** Guards against exchanges that are replaced for ever: nothing is kept of a uid that has gone. */
-    private void note(Listing listing) {
-        if (listing.exchange().readiness() == Readiness.GONE) {
-            present.remove(listing.uid());
-            numbers.remove(listing.uid());
+    /** Stores or removes an exchange. Nothing is kept for a removed uid, as endless replacements would leak memory. */
+    private void store(Listing entry) {
+        if (entry.exchange().readiness() == Readiness.GONE) {
+            entries.remove(entry.uid());
+            exchangeNumbers.remove(entry.uid());
         } else {
-            present.put(listing.uid(), listing);
+            entries.put(entry.uid(), entry);
         }
     }
 
@@ -109,151 +109,155 @@
             case "draining" -> Readiness.DRAINING;
             default -> Readiness.GONE;
         };
-        return listing(String.valueOf(map.get("uid")).toLowerCase(Locale.ROOT),
+        return entry(String.valueOf(map.get("uid")).toLowerCase(Locale.ROOT),
                 NodeConfig.address(String.valueOf(map.get("endpoint")), "known.endpoint"),
-                String.valueOf(map.get("az")), String.valueOf(map.get("model")), number(map.get("pod_group")),
-                readiness, number(map.get("capacity_hint")), (long) number(map.get("boot_ms")));
+                String.valueOf(map.get("az")), String.valueOf(map.get("model")), numberOrZero(map.get("pod_group")),
+                readiness, numberOrZero(map.get("capacity_hint")), (long) numberOrZero(map.get("boot_ms")));
     }
 
-    private static double number(Object value) {
+    private static double numberOrZero(Object value) {
         return value instanceof Double d ? d : 0;
     }
 
-    private Listing listing(String uid, InetSocketAddress endpoint, String zone, String kind, double cell,
+    private Listing entry(String uid, InetSocketAddress endpoint, String zone, String kind, double cell,
             Readiness readiness, double weight, long startedMs) {
-        long number = numbers.computeIfAbsent(uid, u -> ++lastNumber);
+        long number = exchangeNumbers.computeIfAbsent(uid, u -> ++lastNumber);
         return new Listing(uid, endpoint, new Exchange(number, Math.max(0, zones.indexOf(zone)),
                 Math.max(0, kinds.indexOf(kind)), (int) cell, readiness, weight, startedMs * 1_000));
     }
 
     /**
-     * Takes a list. Guards against an answer that was overtaken by a later one: its serial number is lower. One that is
-     * cut short may lack it, and is then taken as news; but it makes nobody ready who was told to drain, since it may
-     * be the older one.
+     * Applies a list. A response that was overtaken by a later one is ignored: its serial number is lower. A truncated
+     * response may lack the serial number and is then applied as if it were new; but as it may be the older one, it
+     * does not change a draining exchange back to ready.
      *
-     * @throws BadInput where a record cannot be understood; the list stays as it was
+     * @throws BadInput if a record is malformed; the list is then unchanged
      */
-    Reading read(DnsMessage message) throws BadInput {
+    Update applyResponse(DnsMessage message) throws BadInput {
         long newSerial = message.records().stream().filter(DnsMessage.Soa.class::isInstance)
                 .mapToLong(r -> ((DnsMessage.Soa) r).serial()).max().orElse(message.truncated() ? Long.MAX_VALUE : -1);
-        boolean numbered = newSerial < Long.MAX_VALUE;
-        if (newSerial <= serial || newSerial < newest) {
-            return new Reading(List.of(), Set.of());
+        boolean hasSerial = newSerial < Long.MAX_VALUE;
+        if (newSerial <= serial || newSerial < newestSerial) {
+            return new Update(List.of(), Set.of());
         }
-        Map<String, Host> hosts = new HashMap<>();
-        note(message, hosts);
-        Set<String> named = new HashSet<>();
-        Set<String> lacking = new LinkedHashSet<>();
+        Map<String, HostRecords> hosts = new HashMap<>();
+        collectHostRecords(message, hosts);
+        Set<String> listedUids = new HashSet<>();
+        Set<String> incompleteHosts = new LinkedHashSet<>();
         List<Listing> changes = new ArrayList<>();
         for (DnsMessage.Record record : message.records()) {
             if (record instanceof DnsMessage.Srv srv) {
                 String uid = srv.target().split("\\.")[0];
-                named.add(uid);
-                Listing listing = listing(uid, srv, hosts);
-                if (listing == null) {
-                    lacking.add(srv.target());
-                } else if (!listing.same(present.get(uid)) && (numbered || !resumes(listing))) {
-                    changes.add(listing);
+                listedUids.add(uid);
+                Listing entry = entry(uid, srv, hosts);
+                if (entry == null) {
+                    incompleteHosts.add(srv.target());
+                } else if (!entry.sameAs(entries.get(uid)) && (hasSerial || !resumesFromDraining(entry))) {
+                    changes.add(entry);
                 }
             }
         }
         if (!message.truncated()) {
-            for (Listing old : present.values()) {
-                if (!named.contains(old.uid())) {
-                    changes.add(old.gone());
+            for (Listing old : entries.values()) {
+                if (!listedUids.contains(old.uid())) {
+                    changes.add(old.asRemoved());
                 }
             }
-            // Guards what is lacking: the same list must be read again once that is learnt.
-            serial = lacking.isEmpty() ? newSerial : serial;
+            // While hosts are incomplete, the serial number is kept so that the same list is applied again.
+            serial = incompleteHosts.isEmpty() ? newSerial : serial;
         }
-        newest = numbered ? newSerial : newest;
-        changes.forEach(this::note);
-        return new Reading(changes, lacking);
+        newestSerial = hasSerial ? newSerial : newestSerial;
+        changes.forEach(this::store);
+        return new Update(changes, incompleteHosts);
     }
 
-    private boolean resumes(Listing listing) {
-        Listing before = present.get(listing.uid());
-        return before != null && before.exchange().readiness() == Readiness.DRAINING
-                && listing.exchange().readiness() == Readiness.READY;
+    private boolean resumesFromDraining(Listing entry) {
+        Listing previous = entries.get(entry.uid());
+        return previous != null && previous.exchange().readiness() == Readiness.DRAINING
+                && entry.exchange().readiness() == Readiness.READY;
     }
 
-    /** The types of the records that nothing was learnt of, of a host that a list has named without them. */
-    List<Integer> missing(String host) {
-        Host known = learnt.getOrDefault(host, new Host());
+    /** Returns the types of the records still unknown for a host that was listed without them. */
+    List<Integer> missingRecordTypes(String host) {
+        HostRecords known = resolvedHosts.getOrDefault(host, new HostRecords());
         List<Integer> out = new ArrayList<>();
         if (known.address == null) {
             out.add(DnsMessage.A);
         }
-        if (known.facts == null) {
+        if (known.attributes == null) {
             out.add(DnsMessage.TXT);
         }
         return out;
     }
 
-    /** Takes what was asked about one host. Facts that it has none of are known from then on. */
-    void learn(String host, DnsMessage message) {
-        while (learnt.size() >= MOST_LEARNT) {
-            learnt.remove(learnt.keySet().iterator().next());
+    /** Adds the records from the response to a query for one host. */
+    void addHostRecords(String host, DnsMessage message) {
+        while (resolvedHosts.size() >= MAX_RESOLVED_HOSTS) {
+            resolvedHosts.remove(resolvedHosts.keySet().iterator().next());
         }
-        Map<String, Host> hosts = new HashMap<>();
-        hosts.put(host, learnt.computeIfAbsent(host, h -> new Host()));
-        note(message, hosts);
+        Map<String, HostRecords> hosts = new HashMap<>();
+        hosts.put(host, resolvedHosts.computeIfAbsent(host, h -> new HostRecords()));
+        collectHostRecords(message, hosts);
     }
 
-    /** Notes that a host has no facts, though it was asked for them. */
-    void learnNoFacts(String host) {
-        Host known = learnt.get(host);
-        if (known != null && known.facts == null) {
-            known.facts = Map.of();
+    /**
+     * Records that a host has no TXT attributes if the response to a query for them held none, so that they are not
+     * queried again.
+     */
+    void markWithoutAttributes(String host) {
+        HostRecords known = resolvedHosts.get(host);
+        if (known != null && known.attributes == null) {
+            known.attributes = Map.of();
         }
     }
 
-    private static void note(DnsMessage message, Map<String, Host> hosts) {
+    private static void collectHostRecords(DnsMessage message, Map<String, HostRecords> hosts) {
         for (DnsMessage.Record record : message.records()) {
-            if (record instanceof DnsMessage.Address a) {
-                hosts.computeIfAbsent(a.name(), n -> new Host()).address = a.bytes();
-            } else if (record instanceof DnsMessage.Text t) {
-                Host host = hosts.computeIfAbsent(t.name(), n -> new Host());
-                Map<String, String> facts = new HashMap<>(host.facts == null ? Map.of() : host.facts);
-                for (String text : t.texts()) {
-                    int eq = text.indexOf('=');
-                    facts.put(eq < 0 ? text : text.substring(0, eq), text.substring(eq + 1));
+            if (record instanceof DnsMessage.Address address) {
+                hosts.computeIfAbsent(address.name(), n -> new HostRecords()).address = address.bytes();
+            } else if (record instanceof DnsMessage.Text textRecord) {
+                HostRecords host = hosts.computeIfAbsent(textRecord.name(), n -> new HostRecords());
+                Map<String, String> attributes = new HashMap<>(host.attributes == null ? Map.of() : host.attributes);
+                for (String text : textRecord.texts()) {
+                    int separator = text.indexOf('=');
+                    attributes.put(separator < 0 ? text : text.substring(0, separator), text.substring(separator + 1));
                 }
-                host.facts = facts;
+                host.attributes = attributes;
             }
         }
     }
 
-    /** An exchange as a service record tells it, or null where its address or its facts are not known. */
-    private Listing listing(String uid, DnsMessage.Srv srv, Map<String, Host> hosts) throws BadInput {
-        Host told = hosts.getOrDefault(srv.target(), new Host());
-        Host asked = learnt.getOrDefault(srv.target(), new Host());
-        Listing before = present.get(uid);
+    /** Returns the exchange of an SRV record, or null if its address or attributes are unknown. */
+    private Listing entry(String uid, DnsMessage.Srv srv, Map<String, HostRecords> hosts) throws BadInput {
+        HostRecords inResponse = hosts.getOrDefault(srv.target(), new HostRecords());
+        HostRecords resolved = resolvedHosts.getOrDefault(srv.target(), new HostRecords());
+        Listing previous = entries.get(uid);
         Readiness readiness = srv.priority() == 0 ? Readiness.READY : Readiness.DRAINING;
-        byte[] address = told.address != null ? told.address : asked.address;
-        Map<String, String> facts = told.facts != null ? told.facts : asked.facts;
-        if (address == null && before != null) {
-            address = before.endpoint().getAddress().getAddress();
+        byte[] address = inResponse.address != null ? inResponse.address : resolved.address;
+        Map<String, String> attributes = inResponse.attributes != null ? inResponse.attributes : resolved.attributes;
+        if (address == null && previous != null) {
+            address = previous.endpoint().getAddress().getAddress();
         }
-        if (address == null || facts == null && before == null) {
+        if (address == null || attributes == null && previous == null) {
             return null;
         }
         InetSocketAddress endpoint = endpoint(address, srv.port());
-        if (facts == null) {
-            Exchange e = before.exchange();
-            return new Listing(uid, endpoint, new Exchange(e.address(), e.zone(), e.kind(), e.place(), readiness,
-                    srv.weight() / 10.0, e.upSince()));
+        if (attributes == null) {
+            Exchange exchange = previous.exchange();
+            return new Listing(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
+                    exchange.place(), readiness, srv.weight() / 10.0, exchange.upSince()));
         }
         String[] labels = srv.target().split("\\.");
-        return listing(uid, endpoint, labels.length > 1 ? labels[1] : "", facts.getOrDefault("kind", ""),
-                fact(facts, "cell"), readiness, srv.weight() / 10.0, fact(facts, "started"));
+        return entry(uid, endpoint, labels.length > 1 ? labels[1] : "", attributes.getOrDefault("kind", ""),
+                longAttribute(attributes, "cell"), readiness, srv.weight() / 10.0,
+                longAttribute(attributes, "started"));
     }
 
-    private static long fact(Map<String, String> facts, String name) throws BadInput {
+    private static long longAttribute(Map<String, String> attributes, String name) throws BadInput {
         try {
-            return Long.parseLong(facts.getOrDefault(name, "0"));
+            return Long.parseLong(attributes.getOrDefault(name, "0"));
         } catch (NumberFormatException e) {
-            throw new BadInput("DNS: " + name + " is no number");
+            throw new BadInput("DNS: " + name + " is not a number");
         }
     }
 
@@ -261,7 +265,7 @@
         try {
             return new InetSocketAddress(InetAddress.getByAddress(address), port);
         } catch (UnknownHostException e) {
-            throw new BadInput("DNS: an address of a wrong length");
+            throw new BadInput("DNS: address of invalid length");
         }
     }
 }
--- a/src/test/java/wingspread/directory/DirectoryDelayTest.java
+++ b/src/test/java/wingspread/directory/DirectoryDelayTest.java
@@ -20,35 +20,36 @@
 import wingspread.turn.Deadlines;
 
 /**
- * How late a change is told after the directory was out of reach: at the latest 6 s after the directory had it and
- * could be reached, whatever the directory did before and however it answers afterwards. On a clock of the test's own.
+ * The delay with which a change is reported after an outage of the directory: at most 6 s after the directory has the
+ * change and is reachable, whatever the outage was and whatever form the later responses have. Runs on a simulated
+ * clock.
  */
 class DirectoryDelayTest {
-    private static final long START = 1_000_000_000;
-    private static final long TERM = 6_000_000;
-    private static final int MOST_UDP = 8_000;
-    private static final int LONGEST = 65_535;
+    private static final long START_MICROS = 1_000_000_000;
+    private static final long MAX_DELAY_MICROS = 6_000_000;
+    private static final int MAX_UDP_BYTES = 8_000;
+    private static final int MAX_TCP_BYTES = 65_535;
 
-    /** What the directory does while it cannot be reached properly. */
-    private enum Outage { SILENT, ERROR, CUT, OLD, WRONG_ID, SLOW, TCP_HANGS }
+    /** How the directory fails during the outage. */
+    private enum Outage { SILENT, ERROR, CUT_SHORT, OLD_LIST, WRONG_ID, SLOW, TCP_HANGS }
 
-    /** How it answers in good order. */
+    /** The form of the responses outside the outage. */
     private enum Shape { WHOLE, TRUNCATED, WITHOUT_HOSTS }
 
-    /** A directory, the way to it, and a client, in a time that jumps from one event to the next. */
-    private static final class World implements DirectoryClient.Transport {
+    /** A directory, the network to it, and a client, simulated event by event. */
+    private static final class Simulation implements DirectoryClient.Transport {
         final Deadlines events = new Deadlines();
         final SplittableRandom random;
         final Shape shape;
         final long latency;
-        final Map<String, Long> toldAt = new HashMap<>();
+        final Map<String, Long> reportedAt = new HashMap<>();
         final List<Named> list = new ArrayList<>();
         final DirectoryClient client;
         Outage outage;
         int serial = 1;
-        long now = START;
+        long now = START_MICROS;
 
-        World(Shape shape, int exchanges, long seed) {
+        Simulation(Shape shape, int exchanges, long seed) {
             this.shape = shape;
             random = new SplittableRandom(seed);
             latency = random.nextInt(300_000);
@@ -56,8 +57,8 @@
                 list.add(new Named("s-" + i, "z", i, 5_000 + i, Readiness.READY, 0));
             }
             client = new DirectoryClient(new Roster(List.of("z"), List.of("std")), random.split(), this,
-                    (kind, listings) -> listings.forEach(l -> toldAt.putIfAbsent(
-                            l.uid() + " " + l.exchange().readiness(), now)));
+                    (kind, listings) -> listings.forEach(listing -> reportedAt.putIfAbsent(
+                            listing.uid() + " " + listing.exchange().readiness(), now)));
         }
 
         void run(long until) {
@@ -68,66 +69,66 @@
             now = until;
         }
 
-        void askForEver() {
-            client.ask(now);
-            events.add(now + DirectoryClient.ASK_EVERY, this::askForEver);
+        void queryPeriodically() {
+            client.queryList(now);
+            events.add(now + DirectoryClient.QUERY_INTERVAL_MICROS, this::queryPeriodically);
         }
 
         @Override
-        public void send(byte[] question) {
-            // One datagram in ten is lost, either way.
+        public void send(byte[] query) {
+            // One query in ten is lost, or its response is.
             if (random.nextInt(10) > 0) {
-                reply(question, MOST_UDP);
+                reply(query, MAX_UDP_BYTES);
             }
         }
 
         @Override
-        public void sendOverTcp(byte[] question) {
+        public void sendOverTcp(byte[] query) {
             if (outage == null) {
-                reply(question, LONGEST);
+                reply(query, MAX_TCP_BYTES);
             }
         }
 
-        private void reply(byte[] question, int most) {
-            byte[] answer = outage == Outage.OLD ? NameServer.answer(question, 0, List.of(), most)
-                    : shape == Shape.WITHOUT_HOSTS ? withoutHosts(question)
-                    : NameServer.answer(question, serial, list, shape == Shape.TRUNCATED ? most : LONGEST);
-            long takes = latency;
+        private void reply(byte[] query, int maxBytes) {
+            byte[] response = outage == Outage.OLD_LIST ? NameServer.answer(query, 0, List.of(), maxBytes)
+                    : shape == Shape.WITHOUT_HOSTS ? withoutHosts(query)
+                    : NameServer.answer(query, serial, list, shape == Shape.TRUNCATED ? maxBytes : MAX_TCP_BYTES);
+            long delay = latency;
             if (outage != null) {
                 switch (outage) {
                     case SILENT -> {
                         return;
                     }
-                    case ERROR -> answer[3] |= 2;
-                    case CUT -> answer = Arrays.copyOf(answer, answer.length / 2);
-                    case WRONG_ID -> answer[0] ^= 0x55;
-                    case SLOW -> takes = 4_000_000;
+                    case ERROR -> response[3] |= 2;
+                    case CUT_SHORT -> response = Arrays.copyOf(response, response.length / 2);
+                    case WRONG_ID -> response[0] ^= 0x55;
+                    case SLOW -> delay = 4_000_000;
                     default -> { }
                 }
             }
-            byte[] sent = answer;
-            events.add(now + takes, () -> client.heard(now, sent));
+            byte[] sent = response;
+            events.add(now + delay, () -> client.handleMessage(now, sent));
         }
 
-        /** The list without the records of its hosts, or the records of the one host that is asked for. */
-        private byte[] withoutHosts(byte[] question) {
-            String asked = new String(question, 12, question.length - 16, StandardCharsets.ISO_8859_1);
+        /** Returns the list without the records of its hosts, or the records of the one host that is queried. */
+        private byte[] withoutHosts(byte[] query) {
+            String queriedName = new String(query, 12, query.length - 16, StandardCharsets.ISO_8859_1);
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            out.write(question, 0, 2);
-            if (asked.contains("_back")) {
+            out.write(query, 0, 2);
+            if (queriedName.contains("_back")) {
                 u16(out, 0x8400, 1, list.size(), 1, 0);
-                out.write(question, 12, question.length - 12);
-                for (Named one : list) {
-                    byte[] target = target(one);
-                    u16(out, 0xc00c, 33, 1, 0, 0, 6 + target.length, one.readiness() == Readiness.READY ? 0 : 1, 10,
-                            one.port());
+                out.write(query, 12, query.length - 12);
+                for (Named entry : list) {
+                    byte[] target = target(entry);
+                    u16(out, 0xc00c, 33, 1, 0, 0, 6 + target.length, entry.readiness() == Readiness.READY ? 0 : 1, 10,
+                            entry.port());
                     out.writeBytes(target);
                 }
                 u16(out, 0xc00c, 6, 1, 0, 0, 24, 0xc00c, 0xc00c, 0, serial, 0, 1, 0, 1, 0, 1, 0, 1);
             } else {
-                boolean address = question[question.length - 3] == 1;
+                boolean address = query[query.length - 3] == 1;
                 u16(out, 0x8400, 1, 1, 0, 0);
-                out.write(question, 12, question.length - 12);
+                out.write(query, 12, query.length - 12);
                 u16(out, 0xc00c, address ? 1 : 16, 1, 0, 0, address ? 4 : 9);
                 out.writeBytes(address ? new byte[] {127, 0, 0, 1}
                         : "\u0008kind=std".getBytes(StandardCharsets.US_ASCII));
@@ -135,9 +136,9 @@
             return out.toByteArray();
         }
 
-        private static byte[] target(Named one) {
+        private static byte[] target(Named entry) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            for (String label : List.of(one.uid(), one.zone(), "hosts")) {
+            for (String label : List.of(entry.uid(), entry.zone(), "hosts")) {
                 out.write(label.length());
                 out.writeBytes(label.getBytes(StandardCharsets.US_ASCII));
             }
@@ -154,34 +155,36 @@
     }
 
     @Property(tries = 400, seed = "41")
-    void aChangeIsToldInTimeHoweverTheDirectoryFailedBefore(@ForAll long seed, @ForAll Outage outage,
+    void reportsChangeInTimeAfterAnyOutage(@ForAll long seed, @ForAll Outage outage,
             @ForAll Shape shape, @ForAll @IntRange(min = 0, max = 9_000) int outageMs,
             @ForAll @IntRange(min = 0, max = 10_000) int changeMs) {
-        World world = new World(shape, shape == Shape.TRUNCATED ? 200 : 12, seed);
-        world.askForEver();
-        world.run(START + 5_000_000);
-        assertEquals(world.list.size(), world.toldAt.size());
-        long outageAt = START + 5_000_000;
+        Simulation simulation = new Simulation(shape, shape == Shape.TRUNCATED ? 200 : 12, seed);
+        simulation.queryPeriodically();
+        simulation.run(START_MICROS + 5_000_000);
+        assertEquals(simulation.list.size(), simulation.reportedAt.size());
+        long outageAt = START_MICROS + 5_000_000;
         long reachableAt = outageAt + outageMs * 1_000L;
         long changedAt = outageAt + changeMs * 1_000L;
-        world.outage = outage;
-        world.events.add(reachableAt, () -> world.outage = null);
-        world.events.add(changedAt, () -> {
-            Named one = world.list.get(0);
-            world.list.set(0, new Named(one.uid(), one.zone(), one.place(), one.port(), Readiness.DRAINING, 0));
-            world.serial++;
+        simulation.outage = outage;
+        simulation.events.add(reachableAt, () -> simulation.outage = null);
+        simulation.events.add(changedAt, () -> {
+            Named entry = simulation.list.get(0);
+            simulation.list.set(0,
+                    new Named(entry.uid(), entry.zone(), entry.place(), entry.port(), Readiness.DRAINING, 0));
+            simulation.serial++;
         });
-        long due = Math.max(changedAt, reachableAt) + TERM;
-        world.run(due);
-        assertTrue(world.toldAt.containsKey("s-0 DRAINING"), "not told " + (due - changedAt) + " us after it happened");
+        long deadline = Math.max(changedAt, reachableAt) + MAX_DELAY_MICROS;
+        simulation.run(deadline);
+        assertTrue(simulation.reportedAt.containsKey("s-0 DRAINING"),
+                "not reported " + (deadline - changedAt) + " us after the change");
     }
 
-    /** 1,024 exchanges come at once, and each host has to be asked for by itself. */
+    /** 1,024 exchanges are added at once, and each host must be queried individually. */
     @Property(tries = 20, seed = "42")
-    void aThousandNewHostsAreLearntInTime(@ForAll long seed) {
-        World world = new World(Shape.WITHOUT_HOSTS, 1_024, seed);
-        world.askForEver();
-        world.run(START + TERM);
-        assertEquals(1_024, world.toldAt.size());
+    void resolvesThousandNewHostsInTime(@ForAll long seed) {
+        Simulation simulation = new Simulation(Shape.WITHOUT_HOSTS, 1_024, seed);
+        simulation.queryPeriodically();
+        simulation.run(START_MICROS + MAX_DELAY_MICROS);
+        assertEquals(1_024, simulation.reportedAt.size());
     }
 }
--- a/src/test/java/wingspread/directory/DirectoryTest.java
+++ b/src/test/java/wingspread/directory/DirectoryTest.java
@@ -33,28 +33,32 @@
 import wingspread.net.UnixClock;
 import wingspread.testing.Fuzz;
 
+/** The directory client: parsing of responses, changes of the list, and queries over UDP and TCP. */
 class DirectoryTest {
-    private static final int NAME_AT = 12;
+    private static final int NAME_OFFSET = 12;
 
-    /** An answer with compressed names: one exchange, and the serial number in the authority section. */
-    private static byte[] answer(int id, int priority, int serial, boolean listed) {
+    /**
+     * Returns a response with compressed names: one exchange if {@code listed}, and the serial number in the authority
+     * section.
+     */
+    private static byte[] response(int id, int priority, int serial, boolean listed) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         u16(out, id, 0x8400, 1, listed ? 1 : 0, 1, listed ? 2 : 0);
         label(out, "_back", "_tcp", "pool", "lan");
         out.write(0);
         u16(out, 33, 1);
-        int hostAt = 0;
+        int hostOffset = 0;
         if (listed) {
-            u16(out, 0xc000 | NAME_AT, 33, 1, 0, 0, 22, priority, 40, 3868);
-            hostAt = out.size();
+            u16(out, 0xc000 | NAME_OFFSET, 33, 1, 0, 0, 22, priority, 40, 3868);
+            hostOffset = out.size();
             label(out, "s-1", "east", "hosts");
             out.write(0);
         }
-        u16(out, 0xc000 | NAME_AT, 6, 1, 0, 0, 24, 0xc000 | NAME_AT, 0xc000 | NAME_AT, 0, serial,
+        u16(out, 0xc000 | NAME_OFFSET, 6, 1, 0, 0, 24, 0xc000 | NAME_OFFSET, 0xc000 | NAME_OFFSET, 0, serial,
                 0, 1, 0, 1, 0, 1, 0, 1);
         if (listed) {
-            u16(out, 0xc000 | hostAt, 1, 1, 0, 0, 4, 0x7f00, 9);
-            u16(out, 0xc000 | hostAt, 16, 1, 0, 0, 26);
+            u16(out, 0xc000 | hostOffset, 1, 1, 0, 0, 4, 0x7f00, 9);
+            u16(out, 0xc000 | hostOffset, 16, 1, 0, 0, 26);
             for (String text : List.of("kind=std", "cell=2", "started=7")) {
                 label(out, text);
             }
@@ -76,119 +80,121 @@
         }
     }
 
-    private final List<String> told = new ArrayList<>();
-    private final List<byte[]> asked = new ArrayList<>();
+    private final List<String> reported = new ArrayList<>();
+    private final List<byte[]> queries = new ArrayList<>();
     private long now = 1_000_000_000;
     private final DirectoryClient client = new DirectoryClient(new Roster(List.of("west", "east"), List.of("std")),
             new SplittableRandom(7), new DirectoryClient.Transport() {
                 @Override
-                public void send(byte[] question) {
-                    asked.add(question);
+                public void send(byte[] query) {
+                    queries.add(query);
                 }
 
                 @Override
-                public void sendOverTcp(byte[] question) {
-                    asked.add(question);
+                public void sendOverTcp(byte[] query) {
+                    queries.add(query);
                 }
-            }, (kind, listings) -> listings.forEach(l -> told.add(kind + " " + l.uid() + " " + l.endpoint().getPort()
-                    + " " + l.exchange().address() + " " + l.exchange().zone() + " " + l.exchange().place() + " "
-                    + l.exchange().readiness() + " " + l.exchange().upSince())));
+            }, (kind, entries) -> entries.forEach(entry -> reported.add(kind + " " + entry.uid() + " "
+                    + entry.endpoint().getPort() + " " + entry.exchange().address() + " "
+                    + entry.exchange().zone() + " " + entry.exchange().place() + " "
+                    + entry.exchange().readiness() + " " + entry.exchange().upSince())));
 
-    private void take(byte[] answer) {
-        client.heard(now, answer);
+    private void receive(byte[] response) {
+        client.handleMessage(now, response);
     }
 
-    /** Asks for the list; the question's id. */
-    private int ask() {
-        client.ask(now);
-        return u16(asked.get(asked.size() - 1));
+    /** Sends a query for the list and returns its id. */
+    private int queryList() {
+        client.queryList(now);
+        return u16(queries.get(queries.size() - 1));
     }
 
-    private int known() throws BadInput {
-        client.known((Map<?, ?>) Json.parse(("{\"rev\":4,\"notices\":[{\"rev\":1,\"pool\":{\"all\":true,"
+    private int loadCached() throws BadInput {
+        client.loadCached((Map<?, ?>) Json.parse(("{\"rev\":4,\"notices\":[{\"rev\":1,\"pool\":{\"all\":true,"
                 + "\"targets\":["
                 + "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.9:3868\",\"az\":\"east\",\"model\":\"std\",\"pod_group\":2,"
                 + "\"state\":\"up\",\"capacity_hint\":4,\"boot_ms\":0}]}}]}").getBytes(StandardCharsets.US_ASCII)));
-        return ask();
+        return queryList();
     }
 
     @Test
-    void whatIsKnownAndWhatChangesIsToldOnceByUidAndNothingIsKeptOfWhatHasGone() throws BadInput {
-        int id = known();
-        take(answer(id, 1, 5, true));
-        take(answer(id, 1, 5, true));
-        take(answer(id, 0, 4, true));
-        take(answer(id ^ 1, 0, 6, true));
-        take(answer(id, 0, 6, false));
-        take(answer(id, 0, 7, true));
+    void reportsCachedListAndEachChangeOnceAndForgetsRemovedUids() throws BadInput {
+        int id = loadCached();
+        receive(response(id, 1, 5, true));
+        receive(response(id, 1, 5, true));
+        receive(response(id, 0, 4, true));
+        receive(response(id ^ 1, 0, 6, true));
+        receive(response(id, 0, 6, false));
+        receive(response(id, 0, 7, true));
         assertEquals(List.of(ListKind.CACHED + " s-1 3868 1 1 2 " + Readiness.READY + " 0",
                 ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.DRAINING + " 7000",
                 ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.GONE + " 7000",
-                ListKind.DELTA + " s-1 3868 2 1 2 " + Readiness.READY + " 7000"), told);
+                ListKind.DELTA + " s-1 3868 2 1 2 " + Readiness.READY + " 7000"), reported);
     }
 
     @Test
-    void anAnswerThatComesAfterTheNextQuestionIsHeard() throws BadInput {
-        int first = known();
-        ask();
-        take(answer(first, 1, 5, true));
-        assertEquals(2, told.size());
+    void acceptsLateResponseUntilItsQueryExpires() throws BadInput {
+        int first = loadCached();
+        queryList();
+        receive(response(first, 1, 5, true));
+        assertEquals(2, reported.size());
         for (int i = 0; i < 26; i++) {
-            now += DirectoryClient.ASK_EVERY;
-            ask();
+            now += DirectoryClient.QUERY_INTERVAL_MICROS;
+            queryList();
         }
-        // A directory that is slow by seconds is heard; a question of longer ago is forgotten.
-        take(answer(first, 0, 6, true));
-        assertEquals(3, told.size());
-        now += 2 * DirectoryClient.ASK_EVERY;
-        ask();
-        take(answer(first, 1, 7, true));
-        assertEquals(3, told.size());
+        // A response that is seconds late is accepted; later its query has expired.
+        receive(response(first, 0, 6, true));
+        assertEquals(3, reported.size());
+        now += 2 * DirectoryClient.QUERY_INTERVAL_MICROS;
+        queryList();
+        receive(response(first, 1, 7, true));
+        assertEquals(3, reported.size());
     }
 
     @Test
-    void whatATruncatedAnswerLacksHasNotGone() throws BadInput {
-        int id = known();
-        byte[] nothing = answer(id, 0, 9, false);
-        nothing[2] |= 2;
-        take(nothing);
-        assertEquals(1, told.size());
-        byte[] draining = answer(id, 1, 9, true);
+    void keepsExchangesMissingFromTruncatedResponse() throws BadInput {
+        int id = loadCached();
+        byte[] empty = response(id, 0, 9, false);
+        empty[2] |= 2;
+        receive(empty);
+        assertEquals(1, reported.size());
+        byte[] draining = response(id, 1, 9, true);
         draining[2] |= 2;
-        take(draining);
-        assertEquals(ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.DRAINING + " 7000", told.get(1));
-        // The whole list under the same number is still read: nothing was missed.
-        take(answer(id, 0, 9, false));
-        assertEquals(ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.GONE + " 7000", told.get(2));
+        receive(draining);
+        assertEquals(ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.DRAINING + " 7000", reported.get(1));
+        // The complete list with the same serial number is still applied.
+        receive(response(id, 0, 9, false));
+        assertEquals(ListKind.DELTA + " s-1 3868 1 1 2 " + Readiness.GONE + " 7000", reported.get(2));
     }
 
-    /** The directory's own wires: a question over UDP is answered in part, and then the whole is fetched over TCP. */
+    /** Over real sockets: a query over UDP gets a truncated response, and the complete list is fetched over TCP. */
     @Test
-    void aTruncatedAnswerIsFetchedWholeOverTcp() throws Exception {
+    void fetchesCompleteListOverTcpAfterTruncatedResponse() throws Exception {
         Loop loop = new Loop(new UnixClock());
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Directory asking = new Directory(loop, List.of("west", "east"), List.of("std"), 7,
-                (kind, listings) -> listings.forEach(l -> heard.add(l.uid() + " " + l.exchange().readiness())));
+        BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+        Directory directory = new Directory(loop, List.of("west", "east"), List.of("std"), 7,
+                (kind, entries) -> entries.forEach(
+                        entry -> notifications.add(entry.uid() + " " + entry.exchange().readiness())));
         InetAddress local = InetAddress.getLoopbackAddress();
-        try (ServerSocket whole = new ServerSocket(0, 8, local);
-                DatagramSocket parts = new DatagramSocket(whole.getLocalPort(), local)) {
-            whole.setSoTimeout(10_000);
-            parts.setSoTimeout(10_000);
-            loop.execute(() -> asking.follow((InetSocketAddress) whole.getLocalSocketAddress()));
+        try (ServerSocket tcp = new ServerSocket(0, 8, local);
+                DatagramSocket udp = new DatagramSocket(tcp.getLocalPort(), local)) {
+            tcp.setSoTimeout(10_000);
+            udp.setSoTimeout(10_000);
+            loop.execute(() -> directory.follow((InetSocketAddress) tcp.getLocalSocketAddress()));
             DatagramPacket question = new DatagramPacket(new byte[512], 512);
-            parts.receive(question);
-            byte[] part = answer(u16(question.getData()), 0, 9, false);
+            udp.receive(question);
+            byte[] part = response(u16(question.getData()), 0, 9, false);
             part[2] |= 2;
-            parts.send(new DatagramPacket(part, part.length, question.getSocketAddress()));
-            try (Socket connection = whole.accept()) {
+            udp.send(new DatagramPacket(part, part.length, question.getSocketAddress()));
+            try (Socket connection = tcp.accept()) {
                 connection.setSoTimeout(10_000);
                 DataInputStream in = new DataInputStream(connection.getInputStream());
-                byte[] asked = in.readNBytes(in.readUnsignedShort());
-                byte[] all = answer(u16(asked), 0, 9, true);
+                byte[] query = in.readNBytes(in.readUnsignedShort());
+                byte[] complete = response(u16(query), 0, 9, true);
                 DataOutputStream out = new DataOutputStream(connection.getOutputStream());
-                out.writeShort(all.length);
-                out.write(all);
-                assertEquals("s-1 READY", heard.poll(10, TimeUnit.SECONDS));
+                out.writeShort(complete.length);
+                out.write(complete);
+                assertEquals("s-1 READY", notifications.poll(10, TimeUnit.SECONDS));
             }
         } finally {
             loop.stop();
@@ -215,65 +221,69 @@
         return new DnsMessage.Address(uid + ".east.hosts", new byte[] {127, 0, 0, 9});
     }
 
-    private static DnsMessage.Text facts(String uid) {
+    private static DnsMessage.Text attributes(String uid) {
         return new DnsMessage.Text(uid + ".east.hosts", List.of("kind=std", "cell=2", "started=7"));
     }
 
-    private static List<String> states(Roster.Reading reading) {
-        return reading.changes().stream().map(l -> l.uid() + " " + l.exchange().place() + " "
-                + l.exchange().readiness()).toList();
+    private static List<String> states(Roster.Update update) {
+        return update.changes().stream().map(entry -> entry.uid() + " " + entry.exchange().place() + " "
+                + entry.exchange().readiness()).toList();
     }
 
     @Test
-    void aServiceRecordWithoutItsHostLeavesTheOthersInForceAndIsTakenOnceTheHostIsLearnt() throws BadInput {
-        assertEquals(List.of("a 2 READY"), states(roster.read(list(1, false, srv("a", 0), address("a"), facts("a")))));
-        // Of a known one its state alone is news; a new one waits for its host, and nobody goes for that.
-        DnsMessage lacking = list(2, false, srv("a", 1), srv("b", 0));
-        Roster.Reading reading = roster.read(lacking);
-        assertEquals(List.of("a 2 DRAINING"), states(reading));
-        assertEquals(Set.of("b.east.hosts"), reading.lacking());
-        roster.learn("b.east.hosts", new DnsMessage(1, 0, false, DnsMessage.A, List.of(address("b"))));
-        assertEquals(Set.of("b.east.hosts"), roster.read(lacking).lacking());
-        roster.learn("b.east.hosts", new DnsMessage(2, 0, false, DnsMessage.TXT, List.of(facts("b"))));
-        assertEquals(List.of("b 2 READY"), states(roster.read(lacking)));
-        // Only now is the list's number known, so that an older one is turned away.
-        assertEquals(List.of(), states(roster.read(list(2, false))));
+    void skipsNewExchangeWithoutHostRecordsUntilTheyAreResolved() throws BadInput {
+        assertEquals(List.of("a 2 READY"),
+                states(roster.applyResponse(list(1, false, srv("a", 0), address("a"), attributes("a")))));
+        // A known exchange still changes its state; a new one waits for its host records, and no exchange is removed.
+        DnsMessage incompleteList = list(2, false, srv("a", 1), srv("b", 0));
+        Roster.Update update = roster.applyResponse(incompleteList);
+        assertEquals(List.of("a 2 DRAINING"), states(update));
+        assertEquals(Set.of("b.east.hosts"), update.incompleteHosts());
+        roster.addHostRecords("b.east.hosts", new DnsMessage(1, 0, false, DnsMessage.A, List.of(address("b"))));
+        assertEquals(Set.of("b.east.hosts"), roster.applyResponse(incompleteList).incompleteHosts());
+        roster.addHostRecords("b.east.hosts", new DnsMessage(2, 0, false, DnsMessage.TXT, List.of(attributes("b"))));
+        assertEquals(List.of("b 2 READY"), states(roster.applyResponse(incompleteList)));
+        // Only now is the serial number of the list recorded, so that a list with the same number is ignored.
+        assertEquals(List.of(), states(roster.applyResponse(list(2, false))));
     }
 
-    /** The drain rule: nothing goes to an exchange that was told to drain, whatever comes late. */
+    /**
+     * The drain rule: no call is sent to a draining exchange. A truncated list that was overtaken by a newer one must
+     * not make the exchange ready again.
+     */
     @Test
-    void aPartThatWasOvertakenMakesNobodyReadyAgain() throws BadInput {
-        roster.read(list(1, false, srv("a", 0), address("a"), facts("a")));
-        assertEquals(List.of("a 2 DRAINING"), states(roster.read(list(3, true, srv("a", 1)))));
-        assertEquals(List.of(), states(roster.read(list(2, true, srv("a", 0)))));
-        assertEquals(List.of(), states(roster.read(
+    void keepsDrainingAfterOvertakenTruncatedList() throws BadInput {
+        roster.applyResponse(list(1, false, srv("a", 0), address("a"), attributes("a")));
+        assertEquals(List.of("a 2 DRAINING"), states(roster.applyResponse(list(3, true, srv("a", 1)))));
+        assertEquals(List.of(), states(roster.applyResponse(list(2, true, srv("a", 0)))));
+        assertEquals(List.of(), states(roster.applyResponse(
                 new DnsMessage(99, 0, true, DnsMessage.SRV, List.of(srv("a", 0))))));
-        assertEquals(List.of("a 2 READY"), states(roster.read(list(4, true, srv("a", 0)))));
+        assertEquals(List.of("a 2 READY"), states(roster.applyResponse(list(4, true, srv("a", 0)))));
     }
 
     @Test
-    void aThousandExchangesComeThroughInOneMessageAndInParts() throws BadInput {
+    void readsThousandExchangesFromOneListAndFromParts() throws BadInput {
         List<DnsMessage.Record> whole = new ArrayList<>();
         for (int i = 0; i < 1_024; i++) {
-            whole.addAll(List.of(srv("s-" + i, 0), address("s-" + i), facts("s-" + i)));
+            whole.addAll(List.of(srv("s-" + i, 0), address("s-" + i), attributes("s-" + i)));
         }
         for (int from = 0; from < whole.size(); from += 300) {
-            roster.read(list(5, true, whole.subList(from, Math.min(whole.size(), from + 300))
+            roster.applyResponse(list(5, true, whole.subList(from, Math.min(whole.size(), from + 300))
                     .toArray(DnsMessage.Record[]::new)));
         }
-        assertEquals(1_024, roster.present().size());
-        assertEquals(List.of(), states(roster.read(list(5, false, whole.toArray(DnsMessage.Record[]::new)))));
-        assertEquals(1_024, roster.read(list(6, false)).changes().size());
+        assertEquals(1_024, roster.entries().size());
+        assertEquals(List.of(), states(roster.applyResponse(list(5, false, whole.toArray(DnsMessage.Record[]::new)))));
+        assertEquals(1_024, roster.applyResponse(list(6, false)).changes().size());
     }
 
     @Property(tries = 2000, seed = "31")
-    boolean whatIsSpoiltIsTakenOrTurnedAway(@ForAll long seed) {
-        return Fuzz.takesOrTurnsAway(DnsMessage::parse, Fuzz.spoil(answer(99, 0, 9, true), seed));
+    boolean parsesOrRejectsCorruptedMessage(@ForAll long seed) {
+        return Fuzz.takesOrTurnsAway(DnsMessage::parse, Fuzz.spoil(response(99, 0, 9, true), seed));
     }
 
     @Property(tries = 200, seed = "32")
-    void whatIsCutOffIsTurnedAway(@ForAll byte cut) {
-        byte[] whole = answer(99, 0, 9, true);
+    void rejectsCutMessage(@ForAll byte cut) {
+        byte[] whole = response(99, 0, 9, true);
         byte[] part = Arrays.copyOf(whole, (cut & 0xff) % whole.length);
         assertThrows(BadInput.class, () -> DnsMessage.parse(part));
     }
