--- a/src/main/java/wingspread/front/jsonl/JsonlFront.java
+++ b/src/main/java/wingspread/front/jsonl/JsonlFront.java
@@ -36,19 +36,25 @@
 import wingspread.storm.ReconnectFigures;
 import wingspread.metrics.Metrics;
 
-/** The platform's front: callers' JSON lines over TCP. It decides nothing. */
+/**
+ * The front end for the platform's callers, which use JSON lines over TCP. Converts their messages to events of the
+ * planner and the planner's results to messages; all decisions are the planner's.
+ */
 public final class JsonlFront implements MessageHandler.Owner<Map<?, ?>>, Caller.Strangers {
     private static final Logger CALLS = LoggerFactory.getLogger("call");
-    private static final int REFUSED = 42;
-    private static final int INVALID = 100;
-    /** A caller sends its call with the connection; what says nothing for so long holds a descriptor for nothing. */
-    private static final long LONGEST_MUTE = 2_500_000;
-    private static final long LONGEST_PAUSE_MS = 2_200;
-    private static final int MOST_PAUSES = 4;
-    /** The loop reads what is ready before it plays what is due so much later. */
-    private static final long LOOK_AGAIN = 1_000;
-    /** Milliseconds; guards the deadline against figures that would overflow it. */
-    private static final double LONGEST_WAIT = 86_400_000;
+    private static final int REFUSED_CAUSE = 42;
+    private static final int INVALID_CAUSE = 100;
+    /**
+     * Time within which a new connection must send its first message. Callers send a call as soon as they connect; an
+     * idle connection would occupy a file descriptor for nothing.
+     */
+    private static final long FIRST_MESSAGE_TIMEOUT_MICROS = 2_500_000;
+    private static final long MAX_PAUSE_MS = 2_200;
+    private static final int MAX_PAUSES = 4;
+    /** The loop handles all I/O that is ready before it runs a task that is due after this delay. */
+    private static final long ACCEPT_CHECK_DELAY_MICROS = 1_000;
+    /** Maximum remaining time taken from an offer; a larger value could overflow the deadline. */
+    private static final double MAX_REMAINING_MS = 86_400_000;
 
     private final Loop loop;
     private final List<CallClass> classes;
@@ -57,27 +63,36 @@
     private final BooleanSupplier ready;
     private final Metrics metrics;
     private final ReconnectFigures reconnects;
-    /** The connections, each with the calls that were offered on it and are open or stand. */
-    private final Map<Channel, Calls> connections = new LinkedHashMap<>();
-    private final Map<String, Leg> standing = new HashMap<>();
-    private final OrphanedReleases orphans;
+    /** The open connections, each with its calls that are pending or established. */
+    private final Map<Channel, ConnectionCalls> connections = new LinkedHashMap<>();
+    private final Map<String, Leg> establishedLegs = new HashMap<>();
+    private final OrphanedReleases orphanedReleases;
     private Channel listener;
-    /** Connections that have come up. */
+    /** Number of connections accepted so far. */
     private long accepted;
 
-    public JsonlFront(Loop loop, List<CallClass> classes, IntSupplier mostConnections, Consumer<Event> planner,
+    /**
+     * Creates a front end that does not listen yet.
+     *
+     * @param classes the call classes; the position of a class is its index
+     * @param maxConnections maximum number of open connections; the value may change over time
+     * @param planner receives the events
+     * @param ready whether calls are accepted, as reported in responses to {@code test}
+     * @param reconnects how new connections are paced
+     */
+    public JsonlFront(Loop loop, List<CallClass> classes, IntSupplier maxConnections, Consumer<Event> planner,
             BooleanSupplier ready, ReconnectFigures reconnects, Metrics metrics) {
         this.reconnects = reconnects;
         this.loop = loop;
-        this.orphans = new OrphanedReleases(loop, this::write);
+        this.orphanedReleases = new OrphanedReleases(loop, this::write);
         this.classes = classes;
-        this.admission = new Admission(loop, mostConnections, LONGEST_MUTE, this::idle);
+        this.admission = new Admission(loop, maxConnections, FIRST_MESSAGE_TIMEOUT_MICROS, this::idle);
         this.planner = planner;
         this.ready = ready;
         this.metrics = metrics;
     }
 
-    /** Starts to listen. */
+    /** Binds the listening socket and starts accepting connections. */
     public ChannelFuture listen(InetSocketAddress address) {
         ServerBootstrap server = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 512)
@@ -97,12 +112,12 @@
     }
 
     /**
-     * Stops to listen; connections stay. Guards against a reset of those that have come up and wait to be accepted:
-     * the listener is closed after a look at its queue that found none.
+     * Stops listening; open connections are kept. Closing the listener would reset connections that are established but
+     * not yet accepted, so it is closed only after a check of its queue that found none.
      */
     public void stopListening() {
         long before = accepted;
-        loop.at(loop.now() + LOOK_AGAIN, () -> {
+        loop.at(loop.now() + ACCEPT_CHECK_DELAY_MICROS, () -> {
             if (accepted == before) {
                 listener.close();
             } else {
@@ -111,22 +126,22 @@
         });
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections.size();
     }
 
-    /** Closes the connections that owe no answer, have sent it whole and hold no part of a message. */
+    /** Closes the connections that have no pending call, no unsent data and no partly received message. */
     public void closeIdle() {
-        closeWhere(calls -> calls.open.isEmpty());
+        closeWhere(calls -> calls.pending.isEmpty());
     }
 
-    /** The same, but those stay on which calls were set up that stand. */
+    /** Like {@link #closeIdle}, but keeps the connections on which established calls were set up. */
     public void closeUnused() {
-        closeWhere(calls -> calls.open.isEmpty() && calls.standing == 0);
+        closeWhere(calls -> calls.pending.isEmpty() && calls.establishedCount == 0);
     }
 
-    private void closeWhere(Predicate<Calls> unused) {
+    private void closeWhere(Predicate<ConnectionCalls> unused) {
         connections.entrySet().stream()
                 .filter(e -> unused.test(e.getValue()) && !MessageHandler.busy(e.getKey()))
                 .map(Map.Entry::getKey).toList()
@@ -140,50 +155,50 @@
 
     private void accept(SocketChannel channel) {
         channel.pipeline().addLast(new MessageHandler<>("caller", new LineDecoder(), this));
-        connections.put(channel, new Calls());
+        connections.put(channel, new ConnectionCalls());
         admission.opened(channel);
         accepted++;
     }
 
     private boolean idle(Channel channel) {
-        Calls calls = connections.get(channel);
-        return calls != null && calls.open.isEmpty() && calls.standing == 0 && !MessageHandler.busy(channel);
+        ConnectionCalls calls = connections.get(channel);
+        return calls != null && calls.pending.isEmpty() && calls.establishedCount == 0 && !MessageHandler.busy(channel);
     }
 
-    /** Callers may write slowly; one that stops short is owed a close within 3 s of connecting. */
+    /** Callers may write slowly, but an incomplete message must lead to a close within 3 s of connecting. */
     @Override
     public long longestPause() {
-        return LONGEST_PAUSE_MS;
+        return MAX_PAUSE_MS;
     }
 
     @Override
     public int mostPauses() {
-        return MOST_PAUSES;
+        return MAX_PAUSES;
     }
 
     @Override
     public boolean owes(Channel channel) {
-        Calls calls = connections.get(channel);
-        return calls != null && !calls.open.isEmpty();
+        ConnectionCalls calls = connections.get(channel);
+        return calls != null && !calls.pending.isEmpty();
     }
 
     @Override
     public void ended(Channel channel, CloseReason reason) {
         admission.ended(channel);
-        Calls calls = connections.remove(channel);
-        for (Leg leg : calls == null ? List.<Leg>of() : calls.open.values()) {
+        ConnectionCalls calls = connections.remove(channel);
+        for (Leg leg : calls == null ? List.<Leg>of() : calls.pending.values()) {
             post(new Event.GivenUp(leg.id, leg));
         }
-        orphans.ended(channel, reason);
+        orphanedReleases.removeConnection(channel, reason);
     }
 
-    /** A call that stood is over: its connection carries one less. */
-    private void ended(Leg leg) {
+    /** Removes an established call, which may be null, and decrements the count of its connection. */
+    private void removeEstablished(Leg leg) {
         if (leg != null) {
-            standing.remove(leg.id);
-            Calls calls = connections.get(leg.channel);
+            establishedLegs.remove(leg.id);
+            ConnectionCalls calls = connections.get(leg.channel);
             if (calls != null) {
-                calls.standing--;
+                calls.establishedCount--;
             }
         }
     }
@@ -193,19 +208,19 @@
         loop.wantTurn();
     }
 
-    // From callers.
+    // Messages from callers.
 
     @Override
     public void received(Channel channel, Map<?, ?> message) throws BadInput {
         admission.heard(channel);
-        orphans.heard(channel);
+        orphanedReleases.markActive(channel);
         String call = text(message, "call");
         switch (text(message, "op")) {
             case "offer" -> offer(channel, call, message);
             case "end" -> {
                 int cause = message.get("why") instanceof Double d ? d.intValue() : Planner.NORMAL;
-                Leg leg = connections.get(channel).open.remove(call);
-                ended(standing.get(call));
+                Leg leg = connections.get(channel).pending.remove(call);
+                removeEstablished(establishedLegs.get(call));
                 post(leg == null ? new Event.CallerEnded(call, cause) : new Event.GivenUp(call, leg));
                 if (cause != Planner.NORMAL) {
                     write(channel, line("ended", call, "", -1, null));
@@ -213,7 +228,7 @@
             }
             case "test" -> write(channel, line("tested", call, "", ready.getAsBoolean() ? 1 : 0, null));
             case "ringing", "accept", "ended", "tested", "group" -> metrics.count("taken.free");
-            default -> throw new BadInput("JSON lines: an unknown op");
+            default -> throw new BadInput("JSON lines: unknown op");
         }
     }
 
@@ -222,22 +237,22 @@
         Leg leg = new Leg(call, channel);
         int callClass = classOf(text(with, "class"));
         Map<String, Double> extras = extras(text(with, "extras"));
-        Double left = number(with.get("left"));
+        Double remainingMs = finiteNumber(with.get("left"));
         double width = extras.getOrDefault("width", 1.0);
-        if (callClass < 0 || left == null || left < 0 || width < 0 || !extras.containsKey("dest")
+        if (callClass < 0 || remainingMs == null || remainingMs < 0 || width < 0 || !extras.containsKey("dest")
                 || call.isEmpty()) {
             metrics.count("answered.invalid");
-            write(channel, line("end", call, "", INVALID, null));
+            write(channel, line("end", call, "", INVALID_CAUSE, null));
             return;
         }
-        // Guards against two set-ups under one id on a connection, whose answers could not be told apart.
-        if (connections.get(channel).open.putIfAbsent(call, leg) != null) {
-            throw new BadInput("JSON lines: the id of an open call comes again");
+        // Answers to two set-ups with the same id on one connection could not be distinguished.
+        if (connections.get(channel).pending.putIfAbsent(call, leg) != null) {
+            throw new BadInput("JSON lines: duplicate id of a pending call");
         }
-        orphans.offeredOn(channel);
+        orphanedReleases.callOffered(channel);
         post(new Event.Offered(new Request(call, text(with, "class"), callClass, text(with, "key"),
                 text(message, "desc").getBytes(StandardCharsets.ISO_8859_1),
-                loop.now() + (long) (Math.min(left, LONGEST_WAIT) * 1_000), extras.get("dest").intValue(),
+                loop.now() + (long) (Math.min(remainingMs, MAX_REMAINING_MS) * 1_000), extras.get("dest").intValue(),
                 width, extras.getOrDefault("via", -1.0).intValue(),
                 !text(with, "retry").isEmpty(), extras.getOrDefault("transit", 0.0) > 0,
                 extras.getOrDefault("again", 0.0) > 0), leg));
@@ -256,7 +271,7 @@
         Map<String, Double> out = new HashMap<>();
         for (String part : text.split(";")) {
             int colon = part.indexOf(':');
-            Double value = colon < 0 ? null : number(part.substring(colon + 1));
+            Double value = colon < 0 ? null : finiteNumber(part.substring(colon + 1));
             if (value != null) {
                 out.put(part.substring(0, colon), value);
             }
@@ -264,17 +279,17 @@
         return out;
     }
 
-    /** Guards the module's arithmetic: a figure that is not finite would never leave it again. */
-    private static Double number(Object value) {
+    /** Returns a finite number, or null: any other value would corrupt the control module's arithmetic for good. */
+    private static Double finiteNumber(Object value) {
         try {
-            Double figure = value instanceof String s ? Double.valueOf(s) : value instanceof Double d ? d : null;
-            return figure == null || !Double.isFinite(figure) ? null : figure;
+            Double parsed = value instanceof String s ? Double.valueOf(s) : value instanceof Double d ? d : null;
+            return parsed == null || !Double.isFinite(parsed) ? null : parsed;
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    /** A field that may be a string or a number, as text. */
+    /** Returns a string or numeric field as text; empty if it is missing or of another type. */
     private static String text(Map<?, ?> map, String name) {
         Object value = map.get(name);
         if (value instanceof Double d) {
@@ -283,7 +298,7 @@
         return value instanceof String s ? s : "";
     }
 
-    // To callers.
+    // Messages to callers.
 
     private static String line(String op, String call, String with, int why, String description) {
         StringBuilder out = new StringBuilder(128).append("{\"op\":\"").append(op).append("\",\"call\":");
@@ -299,17 +314,17 @@
         return out.append("}\n").toString();
     }
 
-    /** Tells that a call is over which this program has not set up. */
+    /** Notifies a caller of the release of a call that this process has not set up. */
     @Override
     public void over(String call, int cause) {
-        orphans.tell(call, releaseLine(call, cause));
+        orphanedReleases.send(call, releaseLine(call, cause));
     }
 
     private static String releaseLine(String call, int cause) {
         return line("end", call, "", cause, null);
     }
 
-    private boolean up(Channel channel) {
+    private boolean isConnected(Channel channel) {
         return connections.containsKey(channel) && channel.isActive();
     }
 
@@ -318,13 +333,13 @@
         loop.touch(channel);
     }
 
-    /** What a connection carries: its calls that are owed an answer, and how many stand. */
-    private static final class Calls {
-        final Map<String, Leg> open = new LinkedHashMap<>();
-        int standing;
+    /** The calls of a connection: those that await a final answer, and the number of established ones. */
+    private static final class ConnectionCalls {
+        final Map<String, Leg> pending = new LinkedHashMap<>();
+        int establishedCount;
     }
 
-    /** A call's way back to its caller. */
+    /** The reply channel of a call to its caller. */
     private final class Leg implements Caller {
         private final String id;
         private final Channel channel;
@@ -335,27 +350,27 @@
         }
 
         private void answer(String line) {
-            Calls calls = connections.get(channel);
+            ConnectionCalls calls = connections.get(channel);
             if (calls != null) {
-                calls.open.remove(id);
+                calls.pending.remove(id);
                 write(channel, line);
             }
         }
 
         @Override
         public void stands(byte[] description) {
-            Calls calls = connections.get(channel);
+            ConnectionCalls calls = connections.get(channel);
             if (calls != null) {
-                calls.standing++;
-                orphans.stoodOn(channel);
-                standing.put(id, this);
+                calls.establishedCount++;
+                orphanedReleases.callEstablished(channel);
+                establishedLegs.put(id, this);
             }
             answer(line("accept", id, "", -1, new String(description, StandardCharsets.ISO_8859_1)));
         }
 
         @Override
         public void refused(long wait) {
-            answer(line("end", id, wait > 0 ? "\"wait\":\"" + (wait + 999) / 1_000 + "\"" : "", REFUSED, null));
+            answer(line("end", id, wait > 0 ? "\"wait\":\"" + (wait + 999) / 1_000 + "\"" : "", REFUSED_CAUSE, null));
         }
 
         @Override
@@ -370,16 +385,16 @@
 
         @Override
         public void over(int cause) {
-            JsonlFront.this.ended(standing.get(id));
-            if (up(channel)) {
-                CALLS.debug("{} release told to its caller {}", id, channel.remoteAddress());
+            JsonlFront.this.removeEstablished(establishedLegs.get(id));
+            if (isConnected(channel)) {
+                CALLS.debug("{} release sent to its caller {}", id, channel.remoteAddress());
                 write(channel, releaseLine(id, cause));
             } else {
-                orphans.tell(id, releaseLine(id, cause));
+                orphanedReleases.send(id, releaseLine(id, cause));
             }
         }
 
-        /** A call of this wire belongs to no connection, nor to the program that set it up. */
+        /** A call of this protocol is bound neither to a connection nor to the process that set it up. */
         @Override
         public boolean outlivesRestart() {
             return true;
--- a/src/main/java/wingspread/front/jsonl/OrphanedReleases.java
+++ b/src/main/java/wingspread/front/jsonl/OrphanedReleases.java
@@ -13,57 +13,62 @@
 import wingspread.net.Loop;
 
 /**
- * Releases of standing calls whose own connection is gone, or that an earlier program set up: whatever ends a call may
- * come on any connection from callers. Chooses which one, keeps releases while there is none, and tells one again whose
- * connection closed at once. Bounded; confined to the loop.
+ * Delivers the releases of established calls whose own connection has closed, or that an earlier process set up. Such a
+ * release may be sent on any connection from callers. This class chooses the connection, queues releases while there is
+ * none, and sends a release again if its connection closes immediately afterwards. The queues are bounded. Confined to
+ * the event loop.
  */
 final class OrphanedReleases {
     private static final Logger LOG = LoggerFactory.getLogger("call");
-    private static final int MOST_WAITING = 4_096;
-    private static final int MOST_TOLD = 1_024;
-    /** Of the second within which a caller must be told of a release. */
-    private static final long LONGEST_WAIT_FOR_OFFER = 500_000;
-    /** A release that was written so shortly before its caller closed the connection may not have been heard. */
-    private static final long CROSSING = 500_000;
+    private static final int MAX_QUEUED = 4_096;
+    private static final int MAX_RECENTLY_SENT = 1_024;
+    /** Part of the 1 s within which a caller must be notified of a release. */
+    private static final long MAX_OFFER_WAIT_MICROS = 500_000;
+    /** A release written within this time before the caller closed the connection may not have been received. */
+    private static final long UNCONFIRMED_MICROS = 500_000;
 
-    /** A release that was told. */
-    private record Told(Channel channel, String line, long at) { }
+    /** A release that was written to a connection, with the time of the write in microseconds. */
+    private record SentRelease(Channel channel, String line, long sentAt) { }
 
     private final Loop loop;
     private final BiConsumer<Channel, String> writer;
-    /** The connections on which a call has come to stand, the last one at the end. */
-    private final Set<Channel> stood = new LinkedHashSet<>();
+    /** Connections on which a call was established, the most recent one last. */
+    private final Set<Channel> establishedOn = new LinkedHashSet<>();
     /**
-     * The same of those on which a call was offered. They come second: callers whose offers are turned away may not
-     * listen for other callers' calls.
+     * Connections on which a call was offered, the most recent one last. They are the second choice, as callers whose
+     * offers are refused may not handle the releases of other callers' calls.
+     */
+    private final Set<Channel> offeredOn = new LinkedHashSet<>();
+    private final ArrayDeque<String> queued = new ArrayDeque<>();
+    /** The most recently written releases, oldest first. */
+    private final ArrayDeque<SentRelease> recentlySent = new ArrayDeque<>();
+    /** The connection on which the last complete message was received; null before the first. */
+    private Channel lastActive;
+
+    /**
+     * Creates an empty queue.
+     *
+     * @param writer writes a line to a connection
      */
-    private final Set<Channel> offered = new LinkedHashSet<>();
-    private final ArrayDeque<String> waiting = new ArrayDeque<>();
-    /** The releases that were told last, oldest first. */
-    private final ArrayDeque<Told> told = new ArrayDeque<>();
-    /** The connection on which a whole message came last; null before the first. */
-    private Channel heardLast;
-
-    /** Writes by this writer. */
     OrphanedReleases(Loop loop, BiConsumer<Channel, String> writer) {
         this.loop = loop;
         this.writer = writer;
     }
 
-    /** A whole message has come on a connection. */
-    void heard(Channel channel) {
-        heardLast = channel;
+    /** Records that a complete message was received on a connection. */
+    void markActive(Channel channel) {
+        lastActive = channel;
     }
 
-    /** A call is offered on a connection, which is told what has waited for one. */
-    void offeredOn(Channel channel) {
-        moveToEnd(offered, channel);
-        tellAll(channel);
+    /** Records that a call was offered on a connection, and sends it the queued releases. */
+    void callOffered(Channel channel) {
+        moveToEnd(offeredOn, channel);
+        sendQueued(channel);
     }
 
-    /** A call has come to stand on a connection. */
-    void stoodOn(Channel channel) {
-        moveToEnd(stood, channel);
+    /** Records that a call was established on a connection. */
+    void callEstablished(Channel channel) {
+        moveToEnd(establishedOn, channel);
     }
 
     private static void moveToEnd(Set<Channel> channels, Channel channel) {
@@ -71,76 +76,81 @@
         channels.add(channel);
     }
 
-    /** Tells a release on the best connection there is, or keeps it for the next. */
-    void tell(String call, String line) {
-        Channel channel = best();
+    /** Sends a release on the preferred connection, or queues it while there is none. */
+    void send(String call, String line) {
+        Channel channel = preferredConnection();
         if (channel != null) {
-            LOG.debug("{} release told to caller {}", call, channel.remoteAddress());
+            LOG.debug("{} release sent to caller {}", call, channel.remoteAddress());
             write(channel, line);
-        } else if (waiting.size() < MOST_WAITING) {
-            LOG.info("{} release waits: no caller that has offered a call is connected", call);
-            waiting.add(line);
+        } else if (queued.size() < MAX_QUEUED) {
+            LOG.info("{} release queued: no caller that has offered a call is connected", call);
+            queued.add(line);
             awaitOffer();
         } else {
-            LOG.warn("{} release dropped: {} wait for a caller to connect", call, MOST_WAITING);
+            LOG.warn("{} release dropped: {} are queued until a caller connects", call, MAX_QUEUED);
         }
     }
 
-    /** A connection has ended: what was told on it a moment ago is told on another, if its caller closed it. */
-    void ended(Channel channel, CloseReason reason) {
-        offered.remove(channel);
-        stood.remove(channel);
+    /**
+     * Removes a closed connection. If the caller closed it, releases written to it shortly before are sent on another.
+     */
+    void removeConnection(Channel channel, CloseReason reason) {
+        offeredOn.remove(channel);
+        establishedOn.remove(channel);
         if (reason != CloseReason.PEER_CLOSED && reason != CloseReason.RESET) {
             return;
         }
-        for (Told release : List.copyOf(told)) {
-            if (release.channel() == channel && release.at() + CROSSING >= loop.now()) {
-                told.remove(release);
-                waiting.add(release.line());
+        for (SentRelease release : List.copyOf(recentlySent)) {
+            if (release.channel() == channel && release.sentAt() + UNCONFIRMED_MICROS >= loop.now()) {
+                recentlySent.remove(release);
+                queued.add(release.line());
             }
         }
-        if (!waiting.isEmpty()) {
-            Channel other = best();
+        if (!queued.isEmpty()) {
+            Channel other = preferredConnection();
             if (other == null) {
                 awaitOffer();
             } else {
-                tellAll(other);
+                sendQueued(other);
             }
         }
     }
 
     /**
-     * Where nobody offers a call for a while, releases go to the connection that was heard last, by a test say. Guards
-     * a program that was started a moment ago, to which callers have connected and offer nothing.
+     * Sends the queued releases on the most recently active connection if no call is offered for a while. This covers
+     * the time after a start, when callers have connected and sent messages such as a test, but offer no call.
      */
     private void awaitOffer() {
-        loop.at(loop.now() + LONGEST_WAIT_FOR_OFFER, () -> {
-            if (heardLast != null && heardLast.isActive()) {
-                tellAll(heardLast);
+        loop.at(loop.now() + MAX_OFFER_WAIT_MICROS, () -> {
+            if (lastActive != null && lastActive.isActive()) {
+                sendQueued(lastActive);
             }
         });
     }
 
-    /** Of the connections that are up the one whose call stood last, else the one that offered last, or null. */
-    private Channel best() {
-        return last(stood).or(() -> last(offered)).orElse(null);
+    /**
+     * Returns the open connection on which a call was established last, otherwise the one on which a call was offered
+     * last, or null if there is neither.
+     */
+    private Channel preferredConnection() {
+        return last(establishedOn).or(() -> last(offeredOn)).orElse(null);
     }
 
     private static Optional<Channel> last(Set<Channel> channels) {
         return channels.stream().filter(Channel::isActive).reduce((earlier, later) -> later);
     }
 
-    private void tellAll(Channel channel) {
-        while (!waiting.isEmpty()) {
-            write(channel, waiting.remove());
+    private void sendQueued(Channel channel) {
+        while (!queued.isEmpty()) {
+            write(channel, queued.remove());
         }
     }
 
     private void write(Channel channel, String line) {
         writer.accept(channel, line);
-        if (told.size() >= MOST_TOLD) {
-            told.remove();
+        if (recentlySent.size() >= MAX_RECENTLY_SENT) {
+            recentlySent.remove();
         }
-        told.add(new Told(channel, line, loop.now()));
+        recentlySent.add(new SentRelease(channel, line, loop.now()));
     }
 }
--- a/src/main/java/wingspread/front/sip/SipFront.java
+++ b/src/main/java/wingspread/front/sip/SipFront.java
@@ -23,15 +23,15 @@
 import wingspread.sip.TransactionLayer;
 
 /**
- * The SIP front: a user agent server of RFC 3261 before the planner. It decides nothing: an INVITE becomes a
- * request, and what the planner answers becomes its one final answer.
+ * The front end for SIP callers: a user agent server (RFC 3261) in front of the planner. An INVITE becomes a request to
+ * the planner, and the planner's result becomes the one final response; all decisions are the planner's.
  */
 public final class SipFront implements TransactionLayer.User {
     private static final Logger LOG = LoggerFactory.getLogger(SipFront.class);
     private static final String ALLOW = "INVITE, ACK, CANCEL, BYE, OPTIONS";
-    private static final int MOST_TRANSACTIONS = 4_096;
-    private static final long SECOND = 1_000_000;
-    private static final int NO_ACK = 102;
+    private static final int MAX_TRANSACTIONS = 4_096;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int NO_ACK_CAUSE = 102;
 
     private final Timers timers;
     private final SipConfig config;
@@ -41,10 +41,17 @@
     private final SplittableRandom random;
     private final TransactionLayer transactions;
     private final Map<ServerTransaction, Leg> pending = new HashMap<>();
-    private final Map<String, Leg> standing = new HashMap<>();
-    /** INVITEs of late by Call-ID, From tag and CSeq, to know one that came by two ways. */
-    private final Map<String, ServerTransaction> recent = new HashMap<>();
-
+    private final Map<String, Leg> establishedLegs = new HashMap<>();
+    /** Recent INVITEs, keyed by Call-ID, From tag and CSeq, to detect one that arrives over two paths. */
+    private final Map<String, ServerTransaction> recentInvites = new HashMap<>();
+
+    /**
+     * Creates a front end without calls.
+     *
+     * @param classes the call classes; the position of a class is its index
+     * @param seed seed of the call ids and the tags
+     * @param planner receives the events
+     */
     public SipFront(Timers timers, SipConfig config, List<CallClass> classes, long seed, Consumer<Event> planner,
             Metrics metrics) {
         this.timers = timers;
@@ -53,22 +60,22 @@
         this.planner = planner;
         this.metrics = metrics;
         this.random = new SplittableRandom(seed);
-        this.transactions = new TransactionLayer(timers, this, MOST_TRANSACTIONS);
+        this.transactions = new TransactionLayer(timers, this, MAX_TRANSACTIONS);
     }
 
-    /** Takes a message from a transport. */
+    /** Handles a message received on a transport. */
     public void received(SipMessage message, Peer peer) {
         metrics.count("sip.taken." + (message.isRequest() ? message.method() : message.status() / 100 + "xx"));
         if (!message.isRequest()) {
             transactions.received(message, peer);
             return;
         }
-        boolean whole = !message.header("Via").isEmpty() && !message.callId().isEmpty() && message.cseq() >= 0
+        boolean complete = !message.header("Via").isEmpty() && !message.callId().isEmpty() && message.cseq() >= 0
                 && !message.header("From").isEmpty() && !message.header("To").isEmpty()
                 && message.cseqMethod().equals(message.method());
-        // Guards the transactions against a request that lacks what they are told apart by.
-        if (!whole) {
-            LOG.info("a {} without its mandatory headers was turned away", message.method());
+        // Without these headers a request cannot be matched to a transaction.
+        if (!complete) {
+            LOG.info("rejected a {} without its mandatory headers", message.method());
             if (!message.method().equals("ACK") && !message.header("Via").isEmpty()) {
                 peer.send(message.reply(400, "Bad Request"));
             }
@@ -77,8 +84,8 @@
         transactions.received(message, peer);
     }
 
-    /** A connection has ended: set-ups that came on it can no longer be answered and count as given up. */
-    public void lost(Peer peer) {
+    /** Cancels the pending set-ups of a closed connection, as they can no longer be answered. */
+    public void peerDisconnected(Peer peer) {
         for (Leg leg : List.copyOf(pending.values())) {
             if (leg.invite.peer() == peer) {
                 pending.remove(leg.invite);
@@ -87,37 +94,37 @@
         }
     }
 
-    /** Whether a set-up that is owed an answer, or a call that stands, came from there. */
-    boolean carries(Peer peer) {
-        return Stream.concat(pending.values().stream(), standing.values().stream())
+    /** Whether a pending set-up or an established call was received from this peer. */
+    boolean hasCalls(Peer peer) {
+        return Stream.concat(pending.values().stream(), establishedLegs.values().stream())
                 .anyMatch(leg -> leg.invite.peer() == peer);
     }
 
-    /** Calls that stand for callers of this front, and set-ups that it owes an answer. */
-    public int open() {
-        return pending.size() + standing.size();
+    /** Returns the number of established calls and pending set-ups of this front end. */
+    public int openCalls() {
+        return pending.size() + establishedLegs.size();
     }
 
-    // From the transactions.
+    // Callbacks of the transaction layer.
 
     @Override
     public void request(ServerTransaction transaction) {
         SipMessage request = transaction.request();
         if (!Dialog.tag(request.header("To")).isEmpty()) {
-            inDialog(transaction);
+            handleInDialog(transaction);
             return;
         }
         switch (request.method()) {
-            case "INVITE" -> invite(transaction);
+            case "INVITE" -> handleInvite(transaction);
             case "OPTIONS" -> transaction.respond(tagged(request.reply(200, "OK")).with("Allow", ALLOW));
             case "BYE" -> transaction.respond(request.reply(481, "Call/Transaction Does Not Exist"));
             default -> transaction.respond(tagged(request.reply(405, "Method Not Allowed")).with("Allow", ALLOW));
         }
     }
 
-    private void inDialog(ServerTransaction transaction) {
+    private void handleInDialog(ServerTransaction transaction) {
         SipMessage request = transaction.request();
-        Leg leg = standing.get(Dialog.keyOf(request));
+        Leg leg = establishedLegs.get(Dialog.keyOf(request));
         if (leg == null) {
             transaction.respond(request.reply(481, "Call/Transaction Does Not Exist"));
         } else if (!leg.dialog.inOrder(request)) {
@@ -126,7 +133,7 @@
             switch (request.method()) {
                 case "BYE" -> {
                     transaction.respond(request.reply(200, "OK"));
-                    leg.forget();
+                    leg.endDialog();
                     planner.accept(new Event.CallerEnded(leg.id, cause(request)));
                 }
                 case "OPTIONS" -> transaction.respond(request.reply(200, "OK").with("Allow", ALLOW));
@@ -142,49 +149,49 @@
         return value < 0 || value > 127 ? Planner.NORMAL : (int) value;
     }
 
-    private void invite(ServerTransaction transaction) {
+    private void handleInvite(ServerTransaction transaction) {
         SipMessage invite = transaction.request();
-        String merged = invite.callId() + ' ' + Dialog.tag(invite.header("From")) + ' ' + invite.cseq();
-        Integer place = place(user(invite.uri()));
+        String mergeKey = invite.callId() + ' ' + Dialog.tag(invite.header("From")) + ' ' + invite.cseq();
+        Integer destination = routeFor(userPart(invite.uri()));
         if (!invite.uri().startsWith("sip:") && !invite.uri().startsWith("sips:")) {
             transaction.respond(tagged(invite.reply(416, "Unsupported URI Scheme")));
         } else if (!invite.header("Require").isEmpty()) {
             transaction.respond(tagged(invite.reply(420, "Bad Extension"))
                     .with("Unsupported", invite.header("Require")));
-        } else if (recent.containsKey(merged)) {
+        } else if (recentInvites.containsKey(mergeKey)) {
             transaction.respond(tagged(invite.reply(482, "Loop Detected")));
-        } else if (recent.size() >= MOST_TRANSACTIONS) {
-            // Guards against a flood of INVITEs, each of which is remembered for half a minute.
+        } else if (recentInvites.size() >= MAX_TRANSACTIONS) {
+            // Bounds the memory used in a flood of INVITEs, as each of them is kept for half a minute.
             transaction.respond(tagged(invite.reply(503, "Service Unavailable")).with("Retry-After", "5"));
-        } else if (place == null) {
+        } else if (destination == null) {
             transaction.respond(tagged(invite.reply(404, "Not Found")));
         } else {
-            recent.put(merged, transaction);
-            timers.at(timers.now() + Timers.PURSUED, () -> recent.remove(merged));
+            recentInvites.put(mergeKey, transaction);
+            timers.at(timers.now() + Timers.PURSUED, () -> recentInvites.remove(mergeKey));
             transaction.respond(invite.reply(100, "Trying"));
-            offer(transaction, place);
+            offer(transaction, destination);
         }
     }
 
-    private void offer(ServerTransaction transaction, int place) {
+    private void offer(ServerTransaction transaction, int destination) {
         SipMessage invite = transaction.request();
         int index = classIndex(invite.header("X-Tier"));
         CallClass callClass = classes.get(index);
         long deadline = timers.now() + callClass.deadline();
         long expires = SipMessage.number(invite.header("Expires"));
         if (expires >= 0) {
-            deadline = Math.min(deadline, timers.now() + Math.min(expires, 3_600) * SECOND);
+            deadline = Math.min(deadline, timers.now() + Math.min(expires, 3_600) * SECOND_MICROS);
         }
         Leg leg = new Leg(String.format("%016x", random.nextLong()), transaction);
         pending.put(transaction, leg);
-        planner.accept(new Event.Offered(new Request(leg.id, callClass.name(), index, user(invite.uri()),
-                invite.body(), deadline, place, callClass.width(), -1, false, false, false), leg));
+        planner.accept(new Event.Offered(new Request(leg.id, callClass.name(), index, userPart(invite.uri()),
+                invite.body(), deadline, destination, callClass.width(), -1, false, false, false), leg));
     }
 
-    private int classIndex(String named) {
+    private int classIndex(String className) {
         int fallback = 0;
         for (int i = 0; i < classes.size(); i++) {
-            if (classes.get(i).name().equals(named)) {
+            if (classes.get(i).name().equals(className)) {
                 return i;
             }
             if (classes.get(i).name().equals(config.callClass())) {
@@ -194,23 +201,23 @@
         return fallback;
     }
 
-    /** The number called: the user of the address. */
-    private static String user(String uri) {
+    /** Returns the called number, which is the user part of the URI without its parameters. */
+    private static String userPart(String uri) {
         int start = uri.indexOf(':') + 1;
-        int at = uri.indexOf('@');
-        String user = at < start ? "" : uri.substring(start, at);
-        int parameters = user.indexOf(';');
-        return parameters < 0 ? user : user.substring(0, parameters);
+        int atSign = uri.indexOf('@');
+        String user = atSign < start ? "" : uri.substring(start, atSign);
+        int parametersAt = user.indexOf(';');
+        return parametersAt < 0 ? user : user.substring(0, parametersAt);
     }
 
-    private Integer place(String number) {
+    private Integer routeFor(String number) {
         if (number.isEmpty()) {
             return null;
         }
         for (int length = number.length(); length >= 0; length--) {
-            Integer place = config.routes().get(number.substring(0, length));
-            if (place != null) {
-                return place;
+            Integer destination = config.routes().get(number.substring(0, length));
+            if (destination != null) {
+                return destination;
             }
         }
         return null;
@@ -227,10 +234,10 @@
 
     @Override
     public void acknowledged(SipMessage ack) {
-        Leg leg = standing.get(Dialog.keyOf(ack));
+        Leg leg = establishedLegs.get(Dialog.keyOf(ack));
         if (leg != null) {
             leg.dialog.acknowledged(ack);
-            leg.releaseIfOver();
+            leg.sendByeIfReleased();
         }
     }
 
@@ -245,13 +252,13 @@
         return response;
     }
 
-    /** One call's way back to its caller. */
+    /** The reply channel of one call to its caller. */
     private final class Leg implements Caller {
         private final String id;
         private final ServerTransaction invite;
         private final String tag = String.format("%08x", random.nextInt());
         private Dialog dialog;
-        private int overCause = -1;
+        private int releaseCause = -1;
 
         Leg(String id, ServerTransaction invite) {
             this.id = id;
@@ -271,11 +278,11 @@
             if (description.length > 0) {
                 ok.with("Content-Type", "application/sdp");
             }
-            SipMessage whole = ok.withBody(description);
+            SipMessage response = ok.withBody(description);
             dialog = new Dialog(request, tag, invite.peer(), timers);
-            standing.put(dialog.key(), this);
-            invite.respond(whole);
-            dialog.accept(whole, invite.peer(), this::unheard);
+            establishedLegs.put(dialog.key(), this);
+            invite.respond(response);
+            dialog.accept(response, invite.peer(), this::ackTimedOut);
         }
 
         private String contact() {
@@ -287,7 +294,7 @@
         public void refused(long wait) {
             pending.remove(invite);
             invite.respond(tagged(invite.request().reply(503, "Service Unavailable"))
-                    .with("Retry-After", Long.toString(Math.max(1, (wait + SECOND - 1) / SECOND))));
+                    .with("Retry-After", Long.toString(Math.max(1, (wait + SECOND_MICROS - 1) / SECOND_MICROS))));
         }
 
         @Override
@@ -298,42 +305,42 @@
 
         @Override
         public void over(int cause) {
-            overCause = cause;
-            releaseIfOver();
+            releaseCause = cause;
+            sendByeIfReleased();
         }
 
-        /** A dialog ends with the program that holds its tags and sequence numbers. */
+        /** A dialog ends with the process that holds its tags and sequence numbers. */
         @Override
         public boolean outlivesRestart() {
             return false;
         }
 
-        /** A BYE waits for the ACK; guards against one that overtakes the answer at the caller. */
-        private void releaseIfOver() {
-            if (overCause >= 0 && dialog.confirmed()) {
-                bye();
+        /** Sends the BYE of a released call once the ACK has arrived, so that it cannot overtake the 200 response. */
+        private void sendByeIfReleased() {
+            if (releaseCause >= 0 && dialog.confirmed()) {
+                sendBye();
             }
         }
 
-        private void bye() {
-            forget();
-            transactions.send(dialog.bye(Math.max(overCause, 0), "z9hG4bK" + id + tag), dialog.peer(),
+        private void sendBye() {
+            endDialog();
+            transactions.send(dialog.bye(Math.max(releaseCause, 0), "z9hG4bK" + id + tag), dialog.peer(),
                     answer -> metrics.count("sip.released"));
         }
 
-        /** No ACK came: RFC 3261, 13.3.1.4 has the callee end the call. */
-        private void unheard() {
-            boolean stood = overCause < 0;
-            overCause = stood ? NO_ACK : overCause;
-            bye();
-            if (stood) {
-                planner.accept(new Event.CallerEnded(id, NO_ACK));
+        /** Ends a call for which no ACK arrived, as RFC 3261, section 13.3.1.4, requires of the callee. */
+        private void ackTimedOut() {
+            boolean wasEstablished = releaseCause < 0;
+            releaseCause = wasEstablished ? NO_ACK_CAUSE : releaseCause;
+            sendBye();
+            if (wasEstablished) {
+                planner.accept(new Event.CallerEnded(id, NO_ACK_CAUSE));
             }
         }
 
-        private void forget() {
+        private void endDialog() {
             dialog.end();
-            standing.remove(dialog.key());
+            establishedLegs.remove(dialog.key());
         }
     }
 }
--- a/src/main/java/wingspread/front/sip/SipListener.java
+++ b/src/main/java/wingspread/front/sip/SipListener.java
@@ -36,11 +36,11 @@
 import wingspread.sip.Timers;
 import wingspread.storm.ReconnectFigures;
 
-/** The sockets of the SIP front: datagrams, and connections with or without TLS. */
+/** The sockets of the SIP front end: UDP, and TCP with or without TLS. */
 public final class SipListener implements MessageHandler.Owner<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger(SipListener.class);
     private static final int DEFAULT_PORT = 5060;
-    private static final int MOST_CONNECTIONS = 128;
+    private static final int MAX_CONNECTIONS = 128;
 
     private final Loop loop;
     private final SipFront front;
@@ -50,35 +50,40 @@
     private final Map<Channel, StreamPeer> streams = new HashMap<>();
     private final List<Channel> listeners = new ArrayList<>();
 
-    /** Sockets whose newcomers are paced as these figures say. */
+    /**
+     * Creates a listener without sockets.
+     *
+     * @param reconnects how new connections are paced
+     */
     public SipListener(Loop loop, SipFront front, ReconnectFigures reconnects, Metrics metrics) {
         this.loop = loop;
         this.reconnects = reconnects;
         this.metrics = metrics;
         this.front = front;
-        this.admission = new Admission(loop, () -> MOST_CONNECTIONS, Timers.PURSUED,
-                channel -> !front.carries(streams.get(channel)));
+        this.admission = new Admission(loop, () -> MAX_CONNECTIONS, Timers.PURSUED,
+                channel -> !front.hasCalls(streams.get(channel)));
     }
 
-    /** Takes datagrams at an address. */
+    /** Binds a UDP socket. */
     public ChannelFuture listenUdp(InetSocketAddress address) {
         ChannelFuture bound = new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(FrameDecoder.MAX_FRAME))
                 .handler(new DatagramHandler("SIP UDP",
-                        (ctx, bytes, sender) -> datagram(ctx.channel(), bytes, sender)))
+                        (ctx, bytes, sender) -> handleDatagram(ctx.channel(), bytes, sender)))
                 .bind(address);
         listeners.add(bound.channel());
         return bound;
     }
 
     /**
-     * Takes connections at an address.
+     * Binds a listening socket for TCP or TLS.
      *
-     * @param security the handler that secures a new connection, asked for each; null for none
+     * @param security creates the TLS handler of a new connection; null for TCP without TLS
      */
     public ChannelFuture listenTcp(InetSocketAddress address, Supplier<SslHandler> security) {
         String transport = security == null ? "TCP" : "TLS";
-        Newcomers newcomers = reconnects.paced() ? new Newcomers(loop, "SIP " + transport, reconnects, metrics) : null;
+        Newcomers acceptThrottle = reconnects.paced()
+                ? new Newcomers(loop, "SIP " + transport, reconnects, metrics) : null;
         ServerBootstrap server = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -86,29 +91,29 @@
                     protected void initChannel(SocketChannel channel) {
                         if (security != null) {
                             SslHandler handshake = security.get();
-                            if (newcomers != null) {
-                                newcomers.meter(channel, handshake);
+                            if (acceptThrottle != null) {
+                                acceptThrottle.meter(channel, handshake);
                             }
                             channel.pipeline().addLast(handshake);
                         }
-                        opened(channel, transport);
+                        addStream(channel, transport);
                     }
                 });
-        if (newcomers != null) {
-            server.handler(newcomers);
+        if (acceptThrottle != null) {
+            server.handler(acceptThrottle);
         }
         ChannelFuture bound = server.bind(address);
         listeners.add(bound.channel());
         return bound;
     }
 
-    /** Stops listening and closes what is open. */
+    /** Stops listening and closes all open connections. */
     public void close() {
         listeners.forEach(Channel::close);
         List.copyOf(streams.keySet()).forEach(channel -> MessageHandler.close(channel, CloseReason.SHUTDOWN));
     }
 
-    private void opened(SocketChannel channel, String transport) {
+    private void addStream(SocketChannel channel, String transport) {
         channel.pipeline().addLast(new MessageHandler<>("SIP " + transport, new SipDecoder(), this));
         streams.put(channel, new StreamPeer(channel, transport, null));
         admission.opened(channel);
@@ -129,7 +134,7 @@
         admission.ended(channel);
         StreamPeer peer = streams.remove(channel);
         if (peer != null) {
-            front.lost(peer);
+            front.peerDisconnected(peer);
             loop.wantTurn();
         }
     }
@@ -139,7 +144,7 @@
         return local.getAddress().getHostAddress() + ":" + local.getPort();
     }
 
-    /** The address in a Contact, or null where it is no address but a name, which nobody here resolves. */
+    /** Returns the IPv4 address and port of a Contact URI, or null if the host is a name, as names are not resolved. */
     static InetSocketAddress addressOf(String uri) {
         String rest = uri.substring(uri.indexOf(':') + 1);
         rest = rest.substring(rest.indexOf('@') + 1);
@@ -152,15 +157,18 @@
         return literal && port > 0 && port < 1 << 16 ? new InetSocketAddress(host, (int) port) : null;
     }
 
-    private void datagram(Channel channel, byte[] bytes, InetSocketAddress sender) throws BadInput {
+    private void handleDatagram(Channel channel, byte[] bytes, InetSocketAddress sender) throws BadInput {
         SipMessage message = SipDecoder.datagram(bytes);
-        InetSocketAddress back = message.isRequest() ? received(message, sender) : sender;
-        front.received(message, new DatagramPeer(channel, back));
+        InetSocketAddress responseAddress = message.isRequest() ? recordSource(message, sender) : sender;
+        front.received(message, new DatagramPeer(channel, responseAddress));
         loop.wantTurn();
     }
 
-    /** Notes in the Via whence a request came, and returns where its answers go (RFC 3261, 18.2; RFC 3581). */
-    static InetSocketAddress received(SipMessage message, InetSocketAddress sender) {
+    /**
+     * Records the source address of a request in its topmost Via header and returns the address that its responses are
+     * sent to (RFC 3261, section 18.2; RFC 3581).
+     */
+    static InetSocketAddress recordSource(SipMessage message, InetSocketAddress sender) {
         for (int i = 0; i < message.headers().size(); i++) {
             SipMessage.Header via = message.headers().get(i);
             if (!via.name().equalsIgnoreCase("Via") && !via.name().equalsIgnoreCase("v")) {
@@ -172,14 +180,14 @@
                     : via.value();
             message.headers().set(i, new SipMessage.Header(via.name(), value + ";received=" + host));
             String sentBy = via.value().replaceFirst(";.*", "").strip();
-            InetSocketAddress stated = addressOf("sip:" + sentBy.substring(sentBy.lastIndexOf(' ') + 1));
-            int port = rport ? sender.getPort() : stated == null ? sender.getPort() : stated.getPort();
+            InetSocketAddress sentByAddress = addressOf("sip:" + sentBy.substring(sentBy.lastIndexOf(' ') + 1));
+            int port = rport ? sender.getPort() : sentByAddress == null ? sender.getPort() : sentByAddress.getPort();
             return new InetSocketAddress(sender.getAddress(), port);
         }
         return sender;
     }
 
-    /** A place that datagrams go to. */
+    /** A peer that is reached by datagrams. */
     private final class DatagramPeer implements Peer {
         private final Channel channel;
         private final InetSocketAddress address;
@@ -212,7 +220,7 @@
         }
     }
 
-    /** The other end of a connection; where that has closed, a new one is made to the Contact's address. */
+    /** The peer of a connection. Once a TCP connection has closed, a new one is made to the Contact's address. */
     private final class StreamPeer implements Peer {
         private final String transport;
         private final InetSocketAddress contact;
@@ -241,15 +249,15 @@
                     .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline().addLast(new MessageHandler<>("SIP TCP", new SipDecoder(),
+                        protected void initChannel(SocketChannel newChannel) {
+                            newChannel.pipeline().addLast(new MessageHandler<>("SIP TCP", new SipDecoder(),
                                     SipListener.this));
                         }
                     })
                     .connect(contact)
-                    .addListener((ChannelFuture f) -> {
-                        if (f.isSuccess()) {
-                            channel = f.channel();
+                    .addListener((ChannelFuture future) -> {
+                        if (future.isSuccess()) {
+                            channel = future.channel();
                             streams.put(channel, this);
                             send(message);
                         } else {
--- a/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
+++ b/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
@@ -44,45 +44,45 @@
 import wingspread.storm.ReconnectFigures;
 
 /**
- * SIP callers over real datagrams on the loopback, through front, planner and module, to a stand-in exchange.
- * Datagrams are dropped, doubled and put out of order in both directions; time is the test's.
+ * SIP callers over real UDP datagrams on the loopback interface, through front end, planner and control module, to a
+ * stand-in exchange. Datagrams are dropped, duplicated and reordered in both directions; the clock is simulated.
  */
 class LossyLoopbackTest {
     private static final int CALLS = 40;
-    private static final long STEP = 50_000;
-    private static final double DROPPED = 0.25;
-    private static final double DOUBLED = 0.25;
-    private static final double DELAYED = 0.25;
+    private static final long STEP_MICROS = 50_000;
+    private static final double DROP_SHARE = 0.25;
+    private static final double DUPLICATE_SHARE = 0.25;
+    private static final double DELAY_SHARE = 0.25;
 
     private final AtomicLong clock = new AtomicLong(1_000_000_000);
     private final Loop loop = new Loop(clock::get);
     private final Metrics metrics = new Metrics();
-    private final List<Attempt> out = new ArrayList<>();
-    private final Set<String> invited = new HashSet<>();
-    private final Set<String> releasedAtExchange = new HashSet<>();
-    private int doubleAttempts;
+    private final List<Attempt> pendingAttempts = new ArrayList<>();
+    private final Set<String> invitedCalls = new HashSet<>();
+    private final Set<String> releasedCalls = new HashSet<>();
+    private int duplicateAttempts;
 
-    /** An exchange that answers when the test says so. */
+    /** An exchange whose answers are posted by the test. */
     private final class StandInExchange implements Exchanges {
         @Override
         public void invite(Attempt attempt) {
-            doubleAttempts += invited.add(attempt.request().id()) ? 0 : 1;
-            out.add(attempt);
+            duplicateAttempts += invitedCalls.add(attempt.request().id()) ? 0 : 1;
+            pendingAttempts.add(attempt);
         }
 
         @Override
         public void withdraw(Attempt attempt) {
-            out.remove(attempt);
+            pendingAttempts.remove(attempt);
         }
 
         @Override
         public void release(long exchange, String call, int cause) {
-            releasedAtExchange.add(call);
+            releasedCalls.add(call);
         }
 
         @Override
         public void closeIdle(long exchange) {
-            // Nothing is idle here.
+            // The stand-in has no connections.
         }
 
         @Override
@@ -91,18 +91,18 @@
         }
     }
 
-    /** A caller of RFC 3261: its INVITE is repeated until answered, each final answer acknowledged. */
+    /** A caller (RFC 3261) that repeats its INVITE until a response arrives and acknowledges each final response. */
     private final class Caller {
         final String callId;
         final boolean cancels;
-        final Set<Integer> finals = new HashSet<>();
+        final Set<Integer> finalStatuses = new HashSet<>();
         final Set<String> tags = new HashSet<>();
-        long next = clock.get();
-        long gap = Timers.T1;
-        boolean heard;
+        long nextSendAt = clock.get();
+        long interval = Timers.T1;
+        boolean responseReceived;
         boolean cancelled;
         boolean byeDone;
-        String to;
+        String toHeader;
 
         Caller(int number, boolean cancels) {
             this.callId = "call-" + number;
@@ -113,49 +113,49 @@
             return SipMessage.request(method, "sip:7" + callId.hashCode() + "@net")
                     .with("Via", "SIP/2.0/UDP 127.0.0.1:9;rport;branch=z9hG4bK" + callId + branch)
                     .with("Max-Forwards", "70").with("From", "<sip:caller@net>;tag=" + callId)
-                    .with("To", to == null ? "<sip:7@net>" : to).with("Call-ID", callId)
+                    .with("To", toHeader == null ? "<sip:7@net>" : toHeader).with("Call-ID", callId)
                     .with("CSeq", cseq + " " + method);
         }
 
-        /** What it sends at this time: repeats of what is unanswered. */
-        void act() {
-            if (clock.get() < next || byeDone) {
+        /** Sends the request that is due now; unanswered requests are repeated. */
+        void sendDue() {
+            if (clock.get() < nextSendAt || byeDone) {
                 return;
             }
-            next = clock.get() + gap;
-            gap = Math.min(2 * gap, Timers.T2);
-            if (finals.isEmpty() && !heard) {
+            nextSendAt = clock.get() + interval;
+            interval = Math.min(2 * interval, Timers.T2);
+            if (finalStatuses.isEmpty() && !responseReceived) {
                 toFront(message("INVITE", "i", 1));
-            } else if (finals.isEmpty() && cancels) {
+            } else if (finalStatuses.isEmpty() && cancels) {
                 cancelled = true;
                 toFront(message("CANCEL", "i", 1));
-            } else if (finals.contains(200)) {
+            } else if (finalStatuses.contains(200)) {
                 toFront(message("BYE", "b", 2));
             }
         }
 
-        void take(SipMessage response) {
+        void receive(SipMessage response) {
             if (response.cseqMethod().equals("BYE")) {
                 byeDone |= response.status() >= 200;
             } else if (response.cseqMethod().equals("INVITE")) {
-                if (!heard) {
-                    heard = true;
-                    next = clock.get() + (cancels ? random.nextLong(900_000) : 0);
-                    gap = Timers.T1;
+                if (!responseReceived) {
+                    responseReceived = true;
+                    nextSendAt = clock.get() + (cancels ? random.nextLong(900_000) : 0);
+                    interval = Timers.T1;
                 }
                 if (response.status() >= 200) {
-                    to = response.header("To");
-                    finals.add(response.status());
-                    tags.add(to);
+                    toHeader = response.header("To");
+                    finalStatuses.add(response.status());
+                    tags.add(toHeader);
                     toFront(message("ACK", response.status() < 300 ? "a" : "i", 1));
                 }
             }
         }
     }
 
-    private record Delayed(long at, byte[] bytes, boolean towardFront) { }
+    private record DelayedDatagram(long deliverAt, byte[] bytes, boolean towardFront) { }
 
-    private final List<Delayed> delayed = new ArrayList<>();
+    private final List<DelayedDatagram> delayed = new ArrayList<>();
     private SplittableRandom random;
     private DatagramChannel socket;
     private InetSocketAddress frontAddress;
@@ -166,49 +166,49 @@
         ByteBuf encoded = message.encode();
         byte[] bytes = new byte[encoded.readableBytes()];
         encoded.readBytes(bytes);
-        disturb(bytes, true);
+        sendWithFaults(bytes, true);
     }
 
-    private void disturb(byte[] bytes, boolean towardFront) {
-        if (random.nextDouble() < DROPPED) {
+    private void sendWithFaults(byte[] bytes, boolean towardFront) {
+        if (random.nextDouble() < DROP_SHARE) {
             return;
         }
-        int copies = random.nextDouble() < DOUBLED ? 2 : 1;
+        int copies = random.nextDouble() < DUPLICATE_SHARE ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            long late = random.nextDouble() < DELAYED ? random.nextLong(700_000) : 0;
-            delayed.add(new Delayed(clock.get() + late, bytes, towardFront));
+            long delay = random.nextDouble() < DELAY_SHARE ? random.nextLong(700_000) : 0;
+            delayed.add(new DelayedDatagram(clock.get() + delay, bytes, towardFront));
         }
     }
 
-    private void deliver() throws IOException, BadInput {
-        for (Delayed d : List.copyOf(delayed)) {
-            if (d.at() <= clock.get()) {
-                delayed.remove(d);
-                if (d.towardFront()) {
-                    socket.send(ByteBuffer.wrap(d.bytes()), frontAddress);
+    private void deliverDue() throws IOException, BadInput {
+        for (DelayedDatagram datagram : List.copyOf(delayed)) {
+            if (datagram.deliverAt() <= clock.get()) {
+                delayed.remove(datagram);
+                if (datagram.towardFront()) {
+                    socket.send(ByteBuffer.wrap(datagram.bytes()), frontAddress);
                 } else {
-                    SipMessage message = SipDecoder.datagram(d.bytes());
+                    SipMessage message = SipDecoder.datagram(datagram.bytes());
                     if (!message.isRequest()) {
-                        callers.get(message.callId()).take(message);
+                        callers.get(message.callId()).receive(message);
                     }
                 }
             }
         }
     }
 
-    private void collect() throws IOException {
+    private void receiveFromFront() throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(16_384);
         while (socket.receive(buffer) != null) {
             buffer.flip();
             byte[] bytes = new byte[buffer.remaining()];
             buffer.get(bytes);
             buffer.clear();
-            disturb(bytes, false);
+            sendWithFaults(bytes, false);
         }
     }
 
-    /** Lets the loop read all that has arrived and play its turn: two whole iterations from now. */
-    private void settle() throws Exception {
+    /** Waits until the loop has read all that has arrived and run its turn, which takes two whole iterations. */
+    private void awaitTurn() throws Exception {
         NioEventLoop eventLoop = (NioEventLoop) loop.group().next();
         CompletableFuture<Void> done = new CompletableFuture<>();
         eventLoop.execute(() -> eventLoop.executeAfterEventLoopIteration(() -> eventLoop.execute(() -> {
@@ -221,9 +221,9 @@
     private void answerSome() throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
-            for (Attempt attempt : List.copyOf(out)) {
+            for (Attempt attempt : List.copyOf(pendingAttempts)) {
                 if (random.nextDouble() < 0.15) {
-                    out.remove(attempt);
+                    pendingAttempts.remove(attempt);
                     planner.post(new Event.Answered(attempt.exchange(), attempt.request().id(), new byte[] {'v'}));
                     loop.wantTurn();
                 }
@@ -231,12 +231,12 @@
             done.complete(null);
         });
         done.get(10, TimeUnit.SECONDS);
-        settle();
+        awaitTurn();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void eachCallGetsExactlyOneFinalAnswer(long seed) throws Exception {
+    void eachCallGetsExactlyOneFinalResponse(long seed) throws Exception {
         random = new SplittableRandom(seed);
         planner = planner();
         Timers timers = new Timers(clock::get);
@@ -244,8 +244,8 @@
         SipListener listener = new SipListener(loop, front, ReconnectFigures.OFF, new Metrics());
         loop.serve(timers);
         loop.serve(planner);
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        frontAddress = (InetSocketAddress) listener.listenUdp(any).sync().channel().localAddress();
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        frontAddress = (InetSocketAddress) listener.listenUdp(anyPort).sync().channel().localAddress();
         try (DatagramChannel opened = DatagramChannel.open()) {
             socket = opened;
             socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -257,22 +257,23 @@
                     all.add(caller);
                     callers.put(caller.callId, caller);
                 }
-                all.forEach(Caller::act);
-                deliver();
-                settle();
+                all.forEach(Caller::sendDue);
+                deliverDue();
+                awaitTurn();
                 answerSome();
-                collect();
-                clock.addAndGet(STEP);
+                receiveFromFront();
+                clock.addAndGet(STEP_MICROS);
             }
             for (Caller caller : all) {
-                assertEquals(1, caller.finals.size(), caller.callId + " heard " + caller.finals);
+                assertEquals(1, caller.finalStatuses.size(), caller.callId + " received " + caller.finalStatuses);
                 assertEquals(1, caller.tags.size(), caller.callId);
             }
             assertEquals(CALLS, metrics.value("taken.calls"));
-            assertEquals(0, doubleAttempts);
-            assertEquals(0, front.open());
-            assertTrue(all.stream().anyMatch(c -> c.cancelled && c.finals.contains(200)), "no CANCEL crossed a 200");
-            assertTrue(all.stream().anyMatch(c -> c.finals.contains(487)), "no CANCEL was in time");
+            assertEquals(0, duplicateAttempts);
+            assertEquals(0, front.openCalls());
+            assertTrue(all.stream().anyMatch(caller -> caller.cancelled && caller.finalStatuses.contains(200)),
+                    "no CANCEL crossed a 200 response");
+            assertTrue(all.stream().anyMatch(caller -> caller.finalStatuses.contains(487)), "no CANCEL was in time");
         } finally {
             loop.execute(listener::close);
             loop.stop();
@@ -283,13 +284,13 @@
         Settings settings = new Settings(Layout.NETWORK, 0, 0, 0, 3, SipFrontTest.CLASSES, false, Reports.PIGGYBACK,
                 false, false, true, false, false, true, 2_000_000, 6, 200_000, 0,
                 new Obligations(20_000, 500_000, 0, 0.3, 14_000_000, 2, 1_000_000));
-        Planner made = new Planner(clock::get, settings, Figures.USUAL, 7, 100, new StandInExchange(),
+        Planner created = new Planner(clock::get, settings, Figures.USUAL, 7, 100, new StandInExchange(),
                 (call, cause) -> { }, metrics);
-        made.post(new Event.Listed(ListKind.CACHED,
+        created.post(new Event.Listed(ListKind.CACHED,
                 List.of(new Exchange(1, 0, 0, 1, Readiness.READY, 1, 0))));
-        made.post(new Event.Reported(1,
+        created.post(new Event.Reported(1,
                 new Report(200, 200, Double.NaN, 0, Double.NaN, Double.NaN,
                 900, Double.NaN)));
-        return made;
+        return created;
     }
 }
--- a/src/test/java/wingspread/front/sip/SipFrontTest.java
+++ b/src/test/java/wingspread/front/sip/SipFrontTest.java
@@ -20,7 +20,7 @@
 import wingspread.sip.SipMessage;
 import wingspread.sip.Timers;
 
-/** The SIP front between a stand-in peer and a planner that the test plays. */
+/** The SIP front end, with a stand-in peer and with the test in the role of the planner. */
 class SipFrontTest {
     static final List<CallClass> CLASSES = List.of(
             new CallClass("plain", 1_500_000, 9_000_000, 1, 0.1, 1, 0, Effect.SAFE, RepeatGroup.ALL, 0, List.of()),
@@ -67,7 +67,7 @@
         return message("INVITE", "1", "<sip:7123@net>").withBody(SDP);
     }
 
-    private void take(SipMessage message) {
+    private void receive(SipMessage message) {
         front.received(message, peer);
     }
 
@@ -79,8 +79,8 @@
         return sent.get(sent.size() - 1).header("To");
     }
 
-    private void pass(long time) {
-        long until = now + time;
+    private void advance(long micros) {
+        long until = now + micros;
         while (timers.nextDue() <= until) {
             now = Math.max(now, timers.nextDue());
             timers.turn();
@@ -95,9 +95,9 @@
     }
 
     @Test
-    void anInviteBecomesOneRequestHoweverOftenItComes() {
-        take(invite());
-        take(invite());
+    void repeatedInviteBecomesOneRequest() {
+        receive(invite());
+        receive(invite());
         assertEquals(1, events.size());
         assertEquals(List.of(100, 100), statuses());
         assertEquals("7123", offered().request().number());
@@ -107,130 +107,131 @@
     }
 
     @Test
-    void expiresBoundsTheDeadlineAndTheLongestPrefixNamesTheExchange() {
+    void expiresLimitsDeadlineAndLongestPrefixSelectsExchange() {
         SipMessage invite = SipMessage.request("INVITE", "sip:7299@net");
-        invite().headers().forEach(h -> invite.with(h.name(), h.value()));
-        take(invite.with("Expires", "2").with("X-Tier", "token"));
+        invite().headers().forEach(header -> invite.with(header.name(), header.value()));
+        receive(invite.with("Expires", "2").with("X-Tier", "token"));
         assertEquals(now + 2_000_000, offered().request().deadline());
         assertEquals(2, offered().request().destination());
         assertEquals("token", offered().request().className());
     }
 
     @Test
-    void aSuccessIsSaidAgainUntilItsAck() {
-        take(invite());
+    void resendsSuccessResponseUntilAck() {
+        receive(invite());
         offered().caller().stands(SDP);
         String to = to();
-        pass(1_600_000);
+        advance(1_600_000);
         assertEquals(List.of(100, 200, 200, 200), statuses());
-        take(message("ACK", "2", to));
-        pass(40_000_000);
+        receive(message("ACK", "2", to));
+        advance(40_000_000);
         assertEquals(List.of(), statuses());
-        take(message("BYE", "3", to));
-        take(message("BYE", "3", to));
+        receive(message("BYE", "3", to));
+        receive(message("BYE", "3", to));
         assertEquals(List.of(200, 200), statuses());
         assertEquals(new Event.CallerEnded(offered().request().id(), 16), events.get(1));
         assertEquals(2, events.size());
-        take(message("BYE", "4", to));
+        receive(message("BYE", "4", to));
         assertEquals(List.of(481), statuses());
     }
 
     @Test
-    void aRefusalIsSaidAgainUntilItsAckAndNamesTheWait() {
-        take(invite());
+    void resendsRefusalWithRetryAfterUntilAck() {
+        receive(invite());
         offered().caller().refused(1_200_000);
         assertEquals("2", sent.get(1).header("Retry-After"));
-        pass(600_000);
-        take(invite());
+        advance(600_000);
+        receive(invite());
         assertEquals(List.of(100, 503, 503, 503), statuses());
-        take(message("ACK", "1", "<sip:7123@net>;tag=x"));
-        pass(40_000_000);
+        receive(message("ACK", "1", "<sip:7123@net>;tag=x"));
+        advance(40_000_000);
         assertEquals(List.of(), statuses());
     }
 
     @Test
-    void aReliableTransportIsToldOnce() {
+    void sendsFinalResponseOnceOverReliableTransport() {
         reliable = true;
-        take(invite());
+        receive(invite());
         offered().caller().failed();
-        pass(10_000_000);
+        advance(10_000_000);
         assertEquals(List.of(100, 480), statuses());
     }
 
     @Test
-    void aCancelEndsTheSetUpAndOneThatCrossesSuccessDoesNot() {
-        take(invite());
-        take(message("CANCEL", "1", "<sip:7123@net>"));
+    void cancelEndsPendingSetUpButNotEstablishedCall() {
+        receive(invite());
+        receive(message("CANCEL", "1", "<sip:7123@net>"));
         assertEquals(List.of(100, 200, 487), statuses());
         assertEquals(new Event.GivenUp(offered().request().id(), offered().caller()), events.get(1));
 
         SipMessage second = message("INVITE", "5", "<sip:7123@net>");
-        second.headers().replaceAll(h -> h.name().equals("Call-ID") ? new SipMessage.Header("Call-ID", "c2") : h);
-        take(second);
+        second.headers().replaceAll(header ->
+                header.name().equals("Call-ID") ? new SipMessage.Header("Call-ID", "c2") : header);
+        receive(second);
         assertInstanceOf(Event.Offered.class, events.get(2));
         ((Event.Offered) events.get(2)).caller().stands(SDP);
-        take(message("CANCEL", "5", "<sip:7123@net>"));
+        receive(message("CANCEL", "5", "<sip:7123@net>"));
         assertEquals(List.of(100, 200, 200), statuses());
         assertEquals(3, events.size());
     }
 
     @Test
-    void aReleaseWaitsForTheAckAndIsSentAgainUntilAnswered() {
-        take(invite());
+    void sendsByeAfterAckAndResendsItUntilAnswered() {
+        receive(invite());
         offered().caller().stands(SDP);
         String to = to();
         offered().caller().over(41);
         assertTrue(sent.stream().noneMatch(SipMessage::isRequest));
-        take(message("ACK", "2", to));
-        pass(600_000);
+        receive(message("ACK", "2", to));
+        advance(600_000);
         List<SipMessage> byes = sent.stream().filter(SipMessage::isRequest).toList();
         assertEquals(2, byes.size());
         assertEquals("Q.850;cause=41", byes.get(0).header("Reason"));
         assertEquals(to, byes.get(0).header("From"));
-        take(byes.get(0).reply(200, "OK"));
+        receive(byes.get(0).reply(200, "OK"));
         sent.clear();
-        pass(40_000_000);
+        advance(40_000_000);
         assertEquals(List.of(), statuses());
-        assertEquals(0, front.open());
+        assertEquals(0, front.openCalls());
     }
 
     @Test
-    void aSuccessThatIsNeverAcknowledgedIsReleased() {
-        take(invite());
+    void releasesCallThatIsNeverAcknowledged() {
+        receive(invite());
         offered().caller().stands(SDP);
-        pass(33_000_000);
-        assertTrue(sent.stream().anyMatch(m -> "BYE".equals(m.method())));
+        advance(33_000_000);
+        assertTrue(sent.stream().anyMatch(message -> "BYE".equals(message.method())));
         assertEquals(new Event.CallerEnded(offered().request().id(), 102), events.get(1));
-        assertEquals(0, front.open());
+        assertEquals(0, front.openCalls());
     }
 
     @Test
-    void whatCannotBeServedIsToldWhy() {
+    void answersUnsupportedRequestsWithStatus() {
         SipMessage unknown = SipMessage.request("INVITE", "sip:9@net");
         SipMessage scheme = SipMessage.request("INVITE", "tel:7123");
         SipMessage extension = SipMessage.request("INVITE", "sip:7123@net").with("Require", "100rel");
         int branch = 10;
         for (SipMessage message : List.of(unknown, scheme, extension)) {
             message("INVITE", "b" + branch++, "<sip:7123@net>").headers()
-                    .forEach(h -> message.with(h.name(), h.value()));
-            take(message);
+                    .forEach(header -> message.with(header.name(), header.value()));
+            receive(message);
         }
-        take(message("REGISTER", "20", "<sip:7123@net>"));
-        take(message("OPTIONS", "21", "<sip:7123@net>"));
-        take(message("BYE", "22", "<sip:7123@net>;tag=none"));
-        take(message("CANCEL", "23", "<sip:7123@net>"));
-        take(SipMessage.request("INVITE", "sip:7123@net").with("Via", "SIP/2.0/UDP h;branch=z9hG4bKq"));
+        receive(message("REGISTER", "20", "<sip:7123@net>"));
+        receive(message("OPTIONS", "21", "<sip:7123@net>"));
+        receive(message("BYE", "22", "<sip:7123@net>;tag=none"));
+        receive(message("CANCEL", "23", "<sip:7123@net>"));
+        receive(SipMessage.request("INVITE", "sip:7123@net").with("Via", "SIP/2.0/UDP h;branch=z9hG4bKq"));
         assertEquals(List.of(404, 416, 420, 405, 200, 481, 481, 400), statuses());
-        take(invite());
-        take(message("INVITE", "other-way", "<sip:7123@net>"));
+        receive(invite());
+        receive(message("INVITE", "other-way", "<sip:7123@net>"));
         assertEquals(List.of(100, 482), statuses());
         assertEquals(1, events.size());
     }
 
     @Test
-    void aConnectionThatEndsGivesItsSetUpsUp() {
-        take(invite());
-        front.lost(peer);
+    void cancelsPendingSetUpsOfClosedConnection() {
+        receive(invite());
+        front.peerDisconnected(peer);
         assertEquals(new Event.GivenUp(offered().request().id(), offered().caller()), events.get(1));
     }
 }
