--- a/src/main/java/wingspread/directory/Roster.java
+++ b/src/main/java/wingspread/directory/Roster.java
@@ -228,7 +228,8 @@
     }
 
     /** Returns the exchange of an SRV record, or null if its address or attributes are unknown. */
-    private Listing entry(String uid, DnsMessage.Srv srv, Map<String, HostRecords> hosts) throws BadInput {
+    private Listing entry(String uid, DnsMessage.Srv srv, Map<String, HostRecords> hosts)
+            throws BadInput {
         HostRecords inResponse = hosts.getOrDefault(srv.target(), new HostRecords());
         HostRecords resolved = resolvedHosts.getOrDefault(srv.target(), new HostRecords());
         Listing previous = entries.get(uid);
--- a/src/main/java/wingspread/front/jsonl/JsonlFront.java
+++ b/src/main/java/wingspread/front/jsonl/JsonlFront.java
@@ -162,7 +162,8 @@
 
     private boolean idle(Channel channel) {
         ConnectionCalls calls = connections.get(channel);
-        return calls != null && calls.pending.isEmpty() && calls.establishedCount == 0 && !MessageHandler.busy(channel);
+        return calls != null && calls.pending.isEmpty() && calls.establishedCount == 0
+                && !MessageHandler.busy(channel);
     }
 
     /** Callers may write slowly, but an incomplete message must lead to a close within 3 s of connecting. */
