--- a/src/main/java/wingspread/storm/AdaptiveThrottle.java
+++ b/src/main/java/wingspread/storm/AdaptiveThrottle.java
@@ -3,52 +3,51 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Adaptive throttling as published for clients of overloaded services: tries are turned away at random, by how far
- * they exceed a multiple of those that get through. First tries are counted like redials, but the lot falls on
- * redials alone. It knows no classes.
+ * Adaptive throttling as published for clients of overloaded services: calls are rejected at random, with a
+ * probability that depends on how far the offered calls exceed a multiple of the established ones. Fresh calls and
+ * redials are both counted, but only redials are rejected. Call classes are not distinguished.
  */
-final class AdaptiveThrottle implements Damper {
-    private final StormFigures.Damping figures;
+final class AdaptiveThrottle implements RedialLimiter {
+    private final StormFigures.Damping parameters;
     private final RandomGenerator random;
-    private final DecayingRate tries;
-    private final DecayingRate through;
-    private double stretch = 1;
+    private final DecayingRate offered;
+    private final DecayingRate established;
+    private double factorScale = 1;
 
-    /** A throttle that has seen nothing. */
-    AdaptiveThrottle(long now, StormFigures.Damping figures, long window, RandomGenerator random) {
-        this.figures = figures;
+    AdaptiveThrottle(long now, StormFigures.Damping parameters, long window, RandomGenerator random) {
+        this.parameters = parameters;
         this.random = random;
-        this.tries = new DecayingRate(now, window);
-        this.through = new DecayingRate(now, window);
+        this.offered = new DecayingRate(now, window);
+        this.established = new DecayingRate(now, window);
     }
 
     @Override
-    public boolean lets(long now, int callClass, double width) {
-        // A try that is turned away counts as well, as the published rule has it: the more ask, the fewer are let.
-        tries.add(now, 1);
-        double asked = tries.perSecond(now);
-        double served = figures.throttleFactor() * stretch * through.perSecond(now);
-        // The one in the denominator, a try a second, lets a few through where nothing is known.
-        return random.nextDouble() >= (asked - served) / (asked + 1);
+    public boolean tryAcquire(long now, int callClass, double width) {
+        // Rejected redials count as offered calls too, as in the published rule: a higher load admits a smaller share.
+        offered.add(now, 1);
+        double offeredRate = offered.perSecond(now);
+        double acceptedRate = parameters.throttleFactor() * factorScale * established.perSecond(now);
+        // The 1 in the denominator, one call per second, admits a few calls while no rates are known.
+        return random.nextDouble() >= (offeredRate - acceptedRate) / (offeredRate + 1);
     }
 
     @Override
-    public void firstTry(long now) {
-        tries.add(now, 1);
+    public void onFreshCall(long now) {
+        offered.add(now, 1);
     }
 
     @Override
-    public void gotThrough(long now, boolean again) {
-        through.add(now, 1);
+    public void onEstablished(long now, boolean redial) {
+        established.add(now, 1);
     }
 
     @Override
-    public void began(long now, double throughPerSecond) {
-        // Its rates go on.
+    public void onStormBegan(long now, double establishedPerSecond) {
+        // The rates are kept up at all times, so a storm needs no special state.
     }
 
     @Override
-    public void share(double share) {
-        stretch = figures.budgetShare() > 0 ? share / figures.budgetShare() : 1;
+    public void setShare(double share) {
+        factorScale = parameters.budgetShare() > 0 ? share / parameters.budgetShare() : 1;
     }
 }
--- a/src/main/java/wingspread/storm/Backoff.java
+++ b/src/main/java/wingspread/storm/Backoff.java
@@ -3,33 +3,34 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between tries to connect: exponential and, with full jitter, anywhere below a bound that doubles, so that many
- * who lost the same peer at the same moment do not knock together. Times in microseconds.
+ * Exponential backoff between connection attempts. With full jitter each wait is random below a bound that doubles, so
+ * that many clients that lost the same peer at the same time do not reconnect simultaneously. All times are in
+ * microseconds.
  */
 public final class Backoff {
-    private final long first;
-    private final long longest;
+    private final long initialBound;
+    private final long maxBound;
     private final double jitter;
     private final RandomGenerator random;
     private long bound;
 
-    Backoff(long first, long longest, double jitter, RandomGenerator random) {
-        this.first = first;
-        this.longest = longest;
+    Backoff(long initialBound, long maxBound, double jitter, RandomGenerator random) {
+        this.initialBound = initialBound;
+        this.maxBound = maxBound;
         this.jitter = jitter;
         this.random = random;
-        this.bound = first;
+        this.bound = initialBound;
     }
 
-    /** The next wait, from 1 to the bound of now. */
+    /** Returns the next wait, from 1 to the current bound, and doubles the bound. */
     public long next() {
         long wait = Math.max(1, Math.round(bound * (1 - jitter * random.nextDouble())));
-        bound = Math.min(longest, 2 * bound);
+        bound = Math.min(maxBound, 2 * bound);
         return wait;
     }
 
-    /** It worked: the next wait is a first one. */
+    /** Returns to the initial bound after a successful attempt. */
     public void reset() {
-        bound = first;
+        bound = initialBound;
     }
 }
--- a/src/main/java/wingspread/storm/DecayingRate.java
+++ b/src/main/java/wingspread/storm/DecayingRate.java
@@ -1,44 +1,48 @@
 package wingspread.storm;
 
 /**
- * Events a second, the latest weighing most: an exponentially weighted rate with a time constant in microseconds.
- * Exact for events at any times; it holds two numbers whatever comes.
+ * Exponentially weighted rate of events per second, in which recent events weigh most. Exact for events at irregular
+ * times, with a state of constant size.
  */
 final class DecayingRate {
-    private static final double SECOND = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
     private final double timeConstant;
     private final long startedAt;
     private double weight;
-    private long at;
+    private long updatedAt;
 
-    /** A rate of nothing, from a time on. */
+    /**
+     * Creates a rate without events.
+     *
+     * @param timeConstant time constant of the decay, in microseconds
+     */
     DecayingRate(long now, long timeConstant) {
         this.timeConstant = timeConstant;
         this.startedAt = now;
-        this.at = now;
+        this.updatedAt = now;
     }
 
-    /** Counts so many events at a time; a clock that steps back is taken to stand still. */
+    /** Adds events at the given time. A time before the latest one is treated as the latest one. */
     void add(long now, double events) {
         decay(now);
         weight += events;
     }
 
     /**
-     * Events a second, corrected for how short a time has been seen. Guards against a first event that would be taken
-     * for thousands a second: less than half the time constant counts as that much.
+     * Returns the events per second, corrected for the time observed so far. An observation shorter than half the time
+     * constant counts as that long; otherwise a first event would appear as thousands per second.
      */
     double perSecond(long now) {
         decay(now);
-        double seen = 1 - Math.exp(-Math.max(at - startedAt, timeConstant / 2) / timeConstant);
-        return weight / timeConstant * SECOND / seen;
+        double observedShare = 1 - Math.exp(-Math.max(updatedAt - startedAt, timeConstant / 2) / timeConstant);
+        return weight / timeConstant * MICROS_PER_SECOND / observedShare;
     }
 
     private void decay(long now) {
-        if (now > at) {
-            weight *= Math.exp((at - now) / timeConstant);
-            at = now;
+        if (now > updatedAt) {
+            weight *= Math.exp((updatedAt - now) / timeConstant);
+            updatedAt = now;
         }
     }
 }
--- a/src/main/java/wingspread/storm/FairBudget.java
+++ b/src/main/java/wingspread/storm/FairBudget.java
@@ -3,116 +3,122 @@
 import java.util.Arrays;
 
 /**
- * A budget for redials: each first try that gets through pays in a share, time pays in a little, each redial that is
- * let through takes out its width. So redials stay in proportion to what works, whatever their number. What is paid
- * in is divided among the classes that have asked of late, by worth and not by how loudly they ask; what a class has
- * no room for goes to the others, and what nobody asks for lies in common. All accounts together hold a fixed most.
+ * A token budget for redials, shared by call classes in proportion to their value. Each established fresh call adds a
+ * share, elapsed time adds a small amount, and each admitted redial takes its width. Redials thereby stay in proportion
+ * to the established fresh calls, however many are offered. Added tokens are divided among the classes that offered
+ * redials recently, by class value and not by offered load; what exceeds the limit of a class goes to the common
+ * balance, and so does everything while no class is active. The sum of all balances is bounded.
  */
-final class FairBudget implements Damper {
-    private static final double SECOND = 1_000_000;
+final class FairBudget implements RedialLimiter {
+    private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private final StormFigures.Damping figures;
-    private final long window;
-    private final double[] worth;
-    private final double[] account;
-    /** When each class asked last. */
-    private final double[] asked;
-    private double common;
+    private final StormFigures.Damping parameters;
+    private final long activityWindow;
+    private final double[] classValues;
+    private final double[] classBalances;
+    /** Time of the latest redial offered, by class. */
+    private final double[] lastOfferedAt;
+    private double commonBalance;
     private double share;
-    private long paidAt;
+    private long refilledAt;
 
-    /** A budget that starts with one redial in common; a class that asked within {@code window} is served. */
-    FairBudget(long now, StormFigures.Damping figures, long window, double[] worth) {
-        this.figures = figures;
-        this.window = window;
-        this.worth = worth.clone();
-        this.account = new double[worth.length];
-        this.asked = new double[worth.length];
-        this.common = 1;
-        this.share = figures.budgetShare();
-        this.paidAt = now;
-        Arrays.fill(asked, NEVER);
+    /**
+     * Creates a budget of one redial in the common balance.
+     *
+     * @param activityWindow time in microseconds for which a class counts as active after it offered a redial
+     * @param classValues value of each call class, indexed by class number
+     */
+    FairBudget(long now, StormFigures.Damping parameters, long activityWindow, double[] classValues) {
+        this.parameters = parameters;
+        this.activityWindow = activityWindow;
+        this.classValues = classValues.clone();
+        this.classBalances = new double[classValues.length];
+        this.lastOfferedAt = new double[classValues.length];
+        this.commonBalance = 1;
+        this.share = parameters.budgetShare();
+        this.refilledAt = now;
+        Arrays.fill(lastOfferedAt, NEVER);
     }
 
     @Override
-    public void firstTry(long now) {
-        // Asking pays nothing in.
+    public void onFreshCall(long now) {
+        // Only established calls add to the budget.
     }
 
     @Override
-    public void gotThrough(long now, boolean again) {
-        payForTime(now);
-        // Guards the proportion: a redial that got through, and paid for others, would let a storm feed itself.
-        if (!again) {
-            pay(now, share);
+    public void onEstablished(long now, boolean redial) {
+        refillForTime(now);
+        // Established redials add nothing, or a storm would finance itself and exceed the configured proportion.
+        if (!redial) {
+            refill(now, share);
         }
     }
 
     @Override
-    public boolean lets(long now, int callClass, double width) {
-        payForTime(now);
-        asked[callClass] = now;
-        if (account[callClass] + common < width) {
+    public boolean tryAcquire(long now, int callClass, double width) {
+        refillForTime(now);
+        lastOfferedAt[callClass] = now;
+        if (classBalances[callClass] + commonBalance < width) {
             return false;
         }
-        double own = Math.min(account[callClass], width);
-        account[callClass] -= own;
-        common -= width - own;
+        double fromClass = Math.min(classBalances[callClass], width);
+        classBalances[callClass] -= fromClass;
+        commonBalance -= width - fromClass;
         return true;
     }
 
     @Override
-    public void began(long now, double throughPerSecond) {
-        // What was saved up before the storm is not spent in it at once: one redial, as at the start.
-        payForTime(now);
-        Arrays.fill(account, 0);
-        common = Math.min(common, 1);
+    public void onStormBegan(long now, double establishedPerSecond) {
+        // Savings from before the storm are dropped, so that they are not spent at once: one redial is left.
+        refillForTime(now);
+        Arrays.fill(classBalances, 0);
+        commonBalance = Math.min(commonBalance, 1);
     }
 
     @Override
-    public void share(double newShare) {
+    public void setShare(double newShare) {
         share = newShare;
     }
 
-    /** What is there, in redials; never below 0 nor above the most. */
-    double balance() {
-        return common + Arrays.stream(account).sum();
+    /** Returns the sum of all balances, in redials: from 0 to the configured maximum. */
+    double totalBalance() {
+        return commonBalance + Arrays.stream(classBalances).sum();
     }
 
-    private void payForTime(long now) {
-        if (now > paidAt) {
-            pay(now, (now - paidAt) / SECOND * figures.budgetFloor());
-            paidAt = now;
+    private void refillForTime(long now) {
+        if (now > refilledAt) {
+            refill(now, (now - refilledAt) / MICROS_PER_SECOND * parameters.budgetFloor());
+            refilledAt = now;
         }
     }
 
-    private void pay(long now, double amount) {
-        double active = 0;
-        for (int i = 0; i < worth.length; i++) {
-            if (asked[i] > now - window) {
-                active += worth[i];
+    private void refill(long now, double amount) {
+        double activeValue = 0;
+        for (int i = 0; i < classValues.length; i++) {
+            if (lastOfferedAt[i] > now - activityWindow) {
+                activeValue += classValues[i];
             } else {
-                // A class that asks no longer leaves what it had to the others.
-                common += account[i];
-                account[i] = 0;
+                // The balance of a class that is no longer active becomes available to all.
+                commonBalance += classBalances[i];
+                classBalances[i] = 0;
             }
         }
-        double left = Math.min(amount, Math.max(0, figures.budgetMost() - balance()));
-        if (!(active > 0)) {
-            common += left;
+        double added = Math.min(amount, Math.max(0, parameters.budgetMost() - totalBalance()));
+        if (!(activeValue > 0)) {
+            commonBalance += added;
             return;
         }
-        double over = 0;
-        for (int i = 0; i < worth.length; i++) {
-            if (asked[i] > now - window) {
-                double most = figures.budgetMost() * worth[i] / active;
-                double given = left * worth[i] / active;
-                double taken = Math.max(0, Math.min(given, most - account[i]));
-                account[i] += taken;
-                over += given - taken;
+        double surplus = 0;
+        for (int i = 0; i < classValues.length; i++) {
+            if (lastOfferedAt[i] > now - activityWindow) {
+                double limit = parameters.budgetMost() * classValues[i] / activeValue;
+                double classShare = added * classValues[i] / activeValue;
+                double accepted = Math.max(0, Math.min(classShare, limit - classBalances[i]));
+                classBalances[i] += accepted;
+                surplus += classShare - accepted;
             }
         }
-        common += over;
+        commonBalance += surplus;
     }
 }
--- a/src/main/java/wingspread/storm/LoopBudget.java
+++ b/src/main/java/wingspread/storm/LoopBudget.java
@@ -1,65 +1,70 @@
 package wingspread.storm;
 
 /**
- * A budget of the loop's time for newcomers: accepts and handshakes may take a share of it, so that a crowd that
- * reconnects at once leaves the rest to callers who are there. What each costs is learnt from what it took; the
- * budget may run into debt by one, and none is started before that is paid.
+ * Limits the share of the event loop's time that accepting new connections and their handshakes may take, so that a
+ * mass reconnect leaves the rest to established connections. The cost of a connection is learnt from the time spent on
+ * each. The budget may be overdrawn by one connection; no other is accepted before the debt is repaid. All times are in
+ * microseconds.
  */
 public final class LoopBudget {
-    private static final double LEARN = 0.05;
+    private static final double COST_LEARNING_RATE = 0.05;
 
     private final double share;
-    private final double most;
-    private double cost;
+    private final double maxBalance;
+    private double averageCost;
     private double balance;
-    private long paidAt;
+    private long refilledAt;
 
     /**
-     * A full budget.
+     * Creates a full budget.
      *
      * @param share of the loop's time, above 0 and at most 1
-     * @param most microseconds of it that an unused budget adds up to, above 0
-     * @param firstGuess microseconds that one newcomer is taken to cost before any was seen
+     * @param maxBalance microseconds of loop time that an unused budget accumulates at most, above 0
+     * @param initialCost microseconds that one connection is assumed to cost before any was measured, above 0
      */
-    public LoopBudget(long now, double share, long most, double firstGuess) {
-        if (!(share > 0 && share <= 1) || most <= 0 || !(firstGuess > 0)) {
-            throw new IllegalArgumentException("a loop budget of " + share + " of the time up to " + most);
+    public LoopBudget(long now, double share, long maxBalance, double initialCost) {
+        if (!(share > 0 && share <= 1) || maxBalance <= 0 || !(initialCost > 0)) {
+            throw new IllegalArgumentException(
+                    "loop budget out of bounds: share " + share + ", maximum balance in us " + maxBalance);
         }
         this.share = share;
-        this.most = most;
-        this.cost = firstGuess;
-        this.balance = most;
-        this.paidAt = now;
+        this.maxBalance = maxBalance;
+        this.averageCost = initialCost;
+        this.balance = maxBalance;
+        this.refilledAt = now;
     }
 
-    /** Whether another newcomer may be taken in now; one may where anything is left. */
+    /** Whether another connection may be accepted now, which is the case while the balance is positive. */
     public boolean allows(long now) {
-        pay(now);
+        refill(now);
         return balance > 0;
     }
 
-    /** A newcomer was taken in, which took so many microseconds of the loop. */
+    /** Charges the loop time that one connection took, in microseconds. */
     public void spent(long now, double micros) {
-        pay(now);
-        cost += LEARN * (Math.max(0, micros) - cost);
+        refill(now);
+        averageCost += COST_LEARNING_RATE * (Math.max(0, micros) - averageCost);
         balance -= Math.max(0, micros);
     }
 
-    /** When the next newcomer may be taken in: now, or once the debt is paid and half a newcomer's cost is there. */
+    /**
+     * Returns when the next connection may be accepted: now, or when the debt is repaid and half the average cost of a
+     * connection is available.
+     */
     public long opensAt(long now) {
-        pay(now);
-        return balance > 0 ? now : now + (long) Math.ceil((cost / 2 - balance) / share);
+        refill(now);
+        return balance > 0 ? now : now + (long) Math.ceil((averageCost / 2 - balance) / share);
     }
 
-    /** What one newcomer is taken to cost, in microseconds. */
-    public double cost() {
-        return cost;
+    /** Returns the learnt cost of one connection, in microseconds. */
+    public double averageCost() {
+        return averageCost;
     }
 
-    private void pay(long now) {
-        if (now > paidAt) {
-            balance = Math.min(most, balance + share * (now - paidAt));
-            paidAt = now;
+    private void refill(long now) {
+        if (now > refilledAt) {
+            balance = Math.min(maxBalance, balance + share * (now - refilledAt));
+            refilledAt = now;
         }
     }
 }
--- a/src/main/java/wingspread/storm/Ramp.java
+++ b/src/main/java/wingspread/storm/Ramp.java
@@ -1,28 +1,31 @@
 package wingspread.storm;
 
-/** The time after a storm, or after a return of capacity, in which the share that is let through grows evenly. */
+/**
+ * The period after a storm, or after the recovery of an exchange or of circuits, in which the share of redials that is
+ * admitted grows linearly. All times are in microseconds.
+ */
 final class Ramp {
-    private final StormFigures.Damping figures;
-    private long until = Long.MIN_VALUE;
+    private final StormFigures.Damping parameters;
+    private long endsAt = Long.MIN_VALUE;
 
-    /** No ramp yet. */
-    Ramp(StormFigures.Damping figures) {
-        this.figures = figures;
+    /** Creates a ramp that has not begun. */
+    Ramp(StormFigures.Damping parameters) {
+        this.parameters = parameters;
     }
 
-    /** It begins, from the bottom. */
+    /** Begins the ramp, at the share that applies during a storm; a running ramp starts over. */
     void begin(long now) {
-        until = now + figures.ramp();
+        endsAt = now + parameters.ramp();
     }
 
-    /** Whether redials are still held back. */
-    boolean on(long now) {
-        return now < until;
+    /** Whether the ramp is running, so that redials are limited. */
+    boolean isActive(long now) {
+        return now < endsAt;
     }
 
-    /** The share that is let through now, while it is on. */
+    /** Returns the redials admitted per established fresh call at this point of the ramp. */
     double share(long now) {
-        double gone = Math.min(1, Math.max(0, 1 - (until - now) / (double) Math.max(1, figures.ramp())));
-        return figures.budgetShare() + gone * (figures.rampShare() - figures.budgetShare());
+        double elapsedShare = Math.min(1, Math.max(0, 1 - (endsAt - now) / (double) Math.max(1, parameters.ramp())));
+        return parameters.budgetShare() + elapsedShare * (parameters.rampShare() - parameters.budgetShare());
     }
 }
--- a/src/main/java/wingspread/storm/RateGap.java
+++ b/src/main/java/wingspread/storm/RateGap.java
@@ -1,34 +1,35 @@
 package wingspread.storm;
 
 /**
- * A fixed rate of redials with a bucket that leaks, as rate-based overload control has it: a share of what got through
- * when the storm began, whatever happens after. It knows no classes.
+ * Call gapping with a leaky bucket, as in rate-based overload control: admits redials at a fixed rate, a share of the
+ * calls established per second when the storm began. Call classes are not distinguished.
  */
-final class RateGap implements Damper {
-    private static final double SECOND = 1_000_000;
-    private static final double DEPTH = 2;
+final class RateGap implements RedialLimiter {
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    /** Circuits that the bucket holds; a wider call is admitted only into an empty bucket. */
+    private static final double BUCKET_DEPTH = 2;
 
-    private final StormFigures.Damping figures;
+    private final StormFigures.Damping parameters;
     private double share;
-    private double throughAtOnset;
+    private double establishedAtOnset;
     private double fill;
     private long leakedAt;
 
-    /** A gap at the floor's rate until a storm begins. */
-    RateGap(long now, StormFigures.Damping figures) {
-        this.figures = figures;
-        this.share = figures.budgetShare();
+    /** Creates a gate that admits redials at the floor rate until a storm begins. */
+    RateGap(long now, StormFigures.Damping parameters) {
+        this.parameters = parameters;
+        this.share = parameters.budgetShare();
         this.leakedAt = now;
     }
 
     @Override
-    public boolean lets(long now, int callClass, double width) {
+    public boolean tryAcquire(long now, int callClass, double width) {
         if (now > leakedAt) {
-            double rate = figures.budgetFloor() + share * throughAtOnset;
-            fill = Math.max(0, fill - (now - leakedAt) / SECOND * rate);
+            double rate = parameters.budgetFloor() + share * establishedAtOnset;
+            fill = Math.max(0, fill - (now - leakedAt) / MICROS_PER_SECOND * rate);
             leakedAt = now;
         }
-        if (fill + width > Math.max(DEPTH, width)) {
+        if (fill + width > Math.max(BUCKET_DEPTH, width)) {
             return false;
         }
         fill += width;
@@ -36,22 +37,22 @@
     }
 
     @Override
-    public void firstTry(long now) {
+    public void onFreshCall(long now) {
         // Only redials fill the bucket.
     }
 
     @Override
-    public void gotThrough(long now, boolean again) {
-        // What gets through now does not count.
+    public void onEstablished(long now, boolean redial) {
+        // The rate depends on the calls established before the storm only.
     }
 
     @Override
-    public void began(long now, double throughPerSecond) {
-        throughAtOnset = throughPerSecond;
+    public void onStormBegan(long now, double establishedPerSecond) {
+        establishedAtOnset = establishedPerSecond;
     }
 
     @Override
-    public void share(double newShare) {
+    public void setShare(double newShare) {
         share = newShare;
     }
 }
--- a/src/main/java/wingspread/storm/ReconnectFigures.java
+++ b/src/main/java/wingspread/storm/ReconnectFigures.java
@@ -3,55 +3,57 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How connections are paced. Times in microseconds.
+ * Parameters for pacing new connections and for the backoff before reconnecting.
  *
- * @param share of the loop's time that accepts and handshakes may take while many come at once; 1 for no pacing
- * @param burst of the loop's time for newcomers that a quiet time adds up to
- * @param surgeFactor times the usual rate of newcomers at which the log tells of a surge
- * @param leastSurge newcomers a second under which nothing is a surge
- * @param firstBackoff bound of the first wait before a link connects again
- * @param longestBackoff what the bound, which doubles, grows to
- * @param jitter share of the bound that a wait is shortened by at random at most: 1 for full jitter, 0 for none
+ * @param share of the event loop's time that new connections and their handshakes may take, above 0 and at most 1;
+ *     1 for no pacing
+ * @param burst loop time in microseconds that an unused budget for new connections accumulates, at least 1
+ * @param surgeFactor multiple of the baseline rate of new connections at which a surge is logged, at least 1
+ * @param leastSurge new connections per second below which no surge begins
+ * @param firstBackoff bound of the first wait before a link reconnects, in microseconds, at least 1
+ * @param longestBackoff maximum of that bound, which doubles with each wait, in microseconds
+ * @param jitter maximum share of the bound by which a wait is shortened at random: 1 for full jitter, 0 for none
  */
 public record ReconnectFigures(double share, long burst, double surgeFactor, double leastSurge, long firstBackoff,
         long longestBackoff, double jitter) {
-    /** A link's usual waits, with nothing paced and nothing at random. */
+    /** Default backoff of a link, without pacing and without jitter. */
     public static final ReconnectFigures OFF = new ReconnectFigures(1, 1_000_000, 5, 50, 100_000, 800_000, 0);
-    /** Where settings say nothing, once this is on. */
+    /** Defaults for settings that are not given while pacing is enabled. */
     public static final ReconnectFigures USUAL = new ReconnectFigures(0.25, 20_000, 5, 50, 200_000, 1_600_000, 1);
-    /** What an accept is taken to cost before one was seen. */
-    private static final double ACCEPT = 200;
-    private static final long WINDOW = 500_000;
-    private static final long USUAL_WINDOW = 60_000_000;
+    /** Assumed cost of a connection before any was measured. */
+    private static final double INITIAL_COST_MICROS = 200;
+    private static final long SURGE_WINDOW_MICROS = 500_000;
+    private static final long SURGE_BASELINE_WINDOW_MICROS = 60_000_000;
 
-    /** Checks what a schema cannot say. */
+    /** Checks the rules that the settings schema cannot express. */
     public ReconnectFigures {
         if (!(share > 0 && share <= 1) || burst < 1 || !(jitter >= 0 && jitter <= 1) || !(surgeFactor >= 1)
                 || !(leastSurge >= 0)) {
-            throw new IllegalArgumentException("a figure of reconnects is out of its bounds");
+            throw new IllegalArgumentException(
+                    "share, burst, surge-factor, least-surge or jitter of reconnects is out of its bounds");
         }
         if (firstBackoff < 1 || longestBackoff < firstBackoff) {
-            throw new IllegalArgumentException("longest-backoff is below first-backoff, or that is 0");
+            throw new IllegalArgumentException("longest-backoff is below first-backoff, or first-backoff is 0");
         }
     }
 
-    /** Waits for one link. */
+    /** Creates the backoff of one link. */
     public Backoff backoff(RandomGenerator random) {
         return new Backoff(firstBackoff, longestBackoff, jitter, random);
     }
 
-    /** Whether newcomers are paced at all. */
+    /** Whether new connections are paced. */
     public boolean paced() {
         return share < 1;
     }
 
-    /** A budget for the newcomers of one listener. */
+    /** Creates the budget for new connections of one listener. */
     public LoopBudget newcomers(long now) {
-        return new LoopBudget(now, share, burst, ACCEPT);
+        return new LoopBudget(now, share, burst, INITIAL_COST_MICROS);
     }
 
-    /** What tells a surge of them. */
+    /** Creates the detector for surges of new connections of one listener. */
     public SurgeDetector surges(long now) {
-        return new SurgeDetector(now, WINDOW, USUAL_WINDOW, surgeFactor, leastSurge);
+        return new SurgeDetector(now, SURGE_WINDOW_MICROS, SURGE_BASELINE_WINDOW_MICROS, surgeFactor, leastSurge);
     }
 }
--- a/src/main/java/wingspread/storm/StormDetector.java
+++ b/src/main/java/wingspread/storm/StormDetector.java
@@ -1,131 +1,135 @@
 package wingspread.storm;
 
 /**
- * Whether callers are dialling again in a storm, among the tries that it is told of. What tells is the ratio of
- * redials to first tries, against a threshold and against its usual value: a crowd of first tries raises both sides
- * of it, or the lower one alone, and is no storm. It begins at one ratio and ends at a lower one that was kept for a
- * time. Usual rates are learnt outside of storms alone.
+ * Detects a storm of redials among the calls offered to one destination, to one region or in all. The criterion is the
+ * ratio of redials to fresh calls, compared with a threshold and with the baseline of that ratio: a flash crowd of
+ * fresh calls raises both rates, or the rate of fresh calls alone, and is no storm. A storm begins at one ratio and
+ * ends after the ratio has stayed below a lower one for some time. The baseline is learnt only while no storm is
+ * active. All times are in microseconds.
  */
 public final class StormDetector {
-    /** What came of one look. */
+    /** How an update changed the state of the detector. */
     public enum Change { NONE, BEGAN, ENDED }
 
-    private static final double SECOND = 1_000_000;
-    private static final double DEVIATIONS = 3;
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    private static final double SIGNIFICANT_DEVIATIONS = 3;
 
-    private final StormFigures.Detection figures;
-    private final DecayingRate firstTries;
+    private final StormFigures.Detection parameters;
+    private final DecayingRate freshCalls;
     private final DecayingRate redials;
-    private final DecayingRate usualFirstTries;
-    private final DecayingRate usualRedials;
-    private long youngSince;
-    private long youngFirstTries;
-    private long youngRedials;
-    private long olderFirstTries;
-    private long olderRedials;
-    private boolean storm;
-    /** Since when the ratio is below the one at which a storm ends; -1 while it is not. */
+    private final DecayingRate baselineFreshCalls;
+    private final DecayingRate baselineRedials;
+    private long intervalStart;
+    private long currentFreshCalls;
+    private long currentRedials;
+    private long previousFreshCalls;
+    private long previousRedials;
+    private boolean active;
+    /** Time since which the ratio has been low enough for the storm to end; -1 while it is not. */
     private long calmSince = -1;
 
-    /** A detector that has seen nothing yet. */
-    public StormDetector(long now, StormFigures.Detection figures) {
-        this.figures = figures;
-        this.firstTries = new DecayingRate(now, figures.window());
-        this.redials = new DecayingRate(now, figures.window());
-        this.usualFirstTries = new DecayingRate(now, figures.usualWindow());
-        this.usualRedials = new DecayingRate(now, figures.usualWindow());
-        this.youngSince = now;
+    /** Creates a detector that has counted no calls. */
+    public StormDetector(long now, StormFigures.Detection parameters) {
+        this.parameters = parameters;
+        this.freshCalls = new DecayingRate(now, parameters.window());
+        this.redials = new DecayingRate(now, parameters.window());
+        this.baselineFreshCalls = new DecayingRate(now, parameters.usualWindow());
+        this.baselineRedials = new DecayingRate(now, parameters.usualWindow());
+        this.intervalStart = now;
     }
 
-    /** A try comes in; {@code again} for a redial, and for a cut call that comes again. */
-    public Change tried(long now, boolean again) {
-        (again ? redials : firstTries).add(now, 1);
-        learn(now);
-        if (!storm && again) {
-            youngRedials++;
-        } else if (!storm) {
-            youngFirstTries++;
+    /**
+     * Counts a call offer and updates the state.
+     *
+     * @param redial whether the call is a redial or the new attempt of a caller whose call was cut off
+     */
+    public Change offered(long now, boolean redial) {
+        (redial ? redials : freshCalls).add(now, 1);
+        learnBaseline(now);
+        if (!active && redial) {
+            currentRedials++;
+        } else if (!active) {
+            currentFreshCalls++;
         }
         return look(now);
     }
 
-    /** Counts of a window ago become usual; guards against a storm that is learnt before it is seen. */
-    private void learn(long now) {
-        if (now - youngSince >= figures.window()) {
-            usualFirstTries.add(now, olderFirstTries);
-            usualRedials.add(now, olderRedials);
-            olderFirstTries = youngFirstTries;
-            olderRedials = youngRedials;
-            youngFirstTries = 0;
-            youngRedials = 0;
-            youngSince = now;
+    /** Adds counts to the baseline one window late, so that a storm is not learnt before it is detected. */
+    private void learnBaseline(long now) {
+        if (now - intervalStart >= parameters.window()) {
+            baselineFreshCalls.add(now, previousFreshCalls);
+            baselineRedials.add(now, previousRedials);
+            previousFreshCalls = currentFreshCalls;
+            previousRedials = currentRedials;
+            currentFreshCalls = 0;
+            currentRedials = 0;
+            intervalStart = now;
         }
     }
 
-    private void forgetYoung() {
-        olderFirstTries = 0;
-        olderRedials = 0;
-        youngFirstTries = 0;
-        youngRedials = 0;
+    private void discardRecentCounts() {
+        previousFreshCalls = 0;
+        previousRedials = 0;
+        currentFreshCalls = 0;
+        currentRedials = 0;
     }
 
-    /** Time has passed. */
+    /** Updates the state to the current time. */
     public Change look(long now) {
-        double again = redials.perSecond(now);
-        double first = firstTries.perSecond(now);
-        double usual = usualRatio(now);
-        if (!storm) {
-            if (again > figures.leastRedials()
-                    && beyondChance(again, Math.max(figures.onsetRatio(), figures.overUsual() * usual), first)) {
-                storm = true;
-                forgetYoung();
+        double redialRate = redials.perSecond(now);
+        double freshRate = freshCalls.perSecond(now);
+        double baseline = baselineRatio(now);
+        if (!active) {
+            if (redialRate > parameters.leastRedials()
+                    && exceedsSignificantly(redialRate,
+                            Math.max(parameters.onsetRatio(), parameters.overUsual() * baseline), freshRate)) {
+                active = true;
+                discardRecentCounts();
                 calmSince = -1;
                 return Change.BEGAN;
             }
             return Change.NONE;
         }
-        // Half the factor over the usual ratio, as hysteresis; never under the usual ratio itself.
-        double end = Math.max(figures.endRatio(), Math.max(1, figures.overUsual() / 2) * usual);
-        if (again > end * first && again > figures.leastRedials() * figures.endRatio()) {
+        // Hysteresis: half the onset factor over the baseline, but never below the baseline itself.
+        double endRatio = Math.max(parameters.endRatio(), Math.max(1, parameters.overUsual() / 2) * baseline);
+        if (redialRate > endRatio * freshRate && redialRate > parameters.leastRedials() * parameters.endRatio()) {
             calmSince = -1;
             return Change.NONE;
         }
         calmSince = calmSince < 0 ? now : calmSince;
-        if (now - calmSince >= figures.endAfter()) {
-            storm = false;
+        if (now - calmSince >= parameters.endAfter()) {
+            active = false;
             return Change.ENDED;
         }
         return Change.NONE;
     }
 
     /**
-     * Whether redials exceed a ratio to first tries by more than chance would have it: three deviations of the
-     * difference of two Poisson counts. Guards against a storm made of the first few calls after a start.
+     * Whether the redials exceed a ratio to the fresh calls significantly: by three standard deviations of the
+     * difference of two Poisson counts. Otherwise the first few calls after a start could be taken for a storm.
      */
-    private boolean beyondChance(double again, double ratio, double first) {
-        double seconds = figures.window() / SECOND;
-        double over = (again - ratio * first) * seconds;
-        return over > DEVIATIONS * Math.sqrt((again + ratio * ratio * first) * seconds);
+    private boolean exceedsSignificantly(double redialRate, double ratio, double freshRate) {
+        double seconds = parameters.window() / MICROS_PER_SECOND;
+        double excess = (redialRate - ratio * freshRate) * seconds;
+        return excess > SIGNIFICANT_DEVIATIONS * Math.sqrt((redialRate + ratio * ratio * freshRate) * seconds);
     }
 
-    /** Whether there is one now. */
-    public boolean storm() {
-        return storm;
+    /** Whether a storm is active. */
+    public boolean isActive() {
+        return active;
     }
 
-    /** Redials a second now. */
     public double redialsPerSecond(long now) {
         return redials.perSecond(now);
     }
 
-    /** First tries a second now. */
-    public double firstTriesPerSecond(long now) {
-        return firstTries.perSecond(now);
+    public double freshCallsPerSecond(long now) {
+        return freshCalls.perSecond(now);
     }
 
-    /** Redials for each first try outside of storms, from 0 to the most that counts as usual. */
-    public double usualRatio(long now) {
-        double first = usualFirstTries.perSecond(now);
-        return first > 0 ? Math.min(figures.mostUsual(), usualRedials.perSecond(now) / first) : 0;
+    /** Returns the redials per fresh call outside of storms, from 0 to the configured maximum of the baseline. */
+    public double baselineRatio(long now) {
+        double freshRate = baselineFreshCalls.perSecond(now);
+        return freshRate > 0 ? Math.min(parameters.mostUsual(), baselineRedials.perSecond(now) / freshRate) : 0;
     }
 }
--- a/src/main/java/wingspread/storm/StormFigures.java
+++ b/src/main/java/wingspread/storm/StormFigures.java
@@ -1,41 +1,48 @@
 package wingspread.storm;
 
-/** The figures of detection and damping. Times in microseconds. */
+/**
+ * Parameters of storm detection and damping. All times are in microseconds.
+ *
+ * @param detection when a storm begins and ends
+ * @param damping how many redials are admitted
+ * @param returns what waits rejected callers are advised, and how redials are recognised
+ */
 public record StormFigures(Detection detection, Damping damping, Returns returns) {
-    /** Where settings say nothing. */
+    /** Defaults for settings that are not given. */
     public static final StormFigures USUAL = new StormFigures(
             new Detection(2_000_000, 60_000_000, 0.5, 0.2, 3, 0.5, 4, 1_000_000),
             new Damping(Method.BUDGET, 0.5, 0.5, 10, 3_000_000, 1.5, 2, 0.1),
             new Returns(10_000_000, true, 5_000_000, 4, 200_000, 4_096, 1_024));
 
-    /** How redials are held back while there is a storm. */
+    /** How redials are limited during a storm. */
     public enum Method {
-        /** A budget paid into by first tries that get through, shared by worth. */
+        /** A token budget filled by established fresh calls and shared by class value. */
         BUDGET,
-        /** Turning away at random, by how many of the tries get through. */
+        /** Random rejection, with a probability that depends on the share of offered calls that is established. */
         THROTTLE,
-        /** A fixed rate, from what got through when the storm began. */
+        /** A fixed rate, derived from the rate of established fresh calls at the beginning of the storm. */
         GAP,
-        /** Not at all: only the waits of those whom the module refuses are spread. */
+        /** No limit; only the retry times of calls that the decision module refuses are spread. */
         SPREAD
     }
 
     /**
-     * When there is a storm.
+     * When a storm begins and ends.
      *
-     * @param window time constant of the rates of now
-     * @param usualWindow time constant of the usual rates; longer
-     * @param onsetRatio redials for each first try above which a storm begins
-     * @param endRatio redials for each first try below which it may end; below {@code onsetRatio}, so that it does
-     *     not come and go
-     * @param overUsual so many times the usual ratio a storm has to be as well, and half as many above it to go on
-     * @param mostUsual the highest ratio that is taken for usual, so that a start in the middle of a storm sees it
-     * @param leastRedials redials a second under which nothing is a storm
-     * @param endAfter how long the ratio has to stay below
+     * @param window time constant of the current rates, above 0
+     * @param usualWindow time constant of the baseline rates; longer than {@code window}
+     * @param onsetRatio redials per fresh call above which a storm begins
+     * @param endRatio redials per fresh call below which a storm may end; lower than {@code onsetRatio}, so that the
+     *     state does not oscillate
+     * @param overUsual multiple of the baseline ratio that the ratio has to exceed too for a storm to begin, at least
+     *     1; half of it applies to an active storm
+     * @param mostUsual maximum of the baseline ratio, so that a storm is detected even if the process starts during it
+     * @param leastRedials redials per second below which no storm begins
+     * @param endAfter how long the ratio has to stay low before a storm ends
      */
     public record Detection(long window, long usualWindow, double onsetRatio, double endRatio, double overUsual,
             double mostUsual, double leastRedials, long endAfter) {
-        /** Checks what a schema cannot say. */
+        /** Checks the rules that the settings schema cannot express. */
         public Detection {
             if (!(endRatio < onsetRatio)) {
                 throw new IllegalArgumentException("end-ratio " + endRatio + " is not below onset-ratio " + onsetRatio);
@@ -44,69 +51,78 @@
                 throw new IllegalArgumentException("usual-window is not longer than window");
             }
             if (window <= 0 || endAfter < 0 || !(leastRedials >= 0) || !(overUsual >= 1) || !(mostUsual >= 0)) {
-                throw new IllegalArgumentException("a figure of detection is below its least");
+                throw new IllegalArgumentException(
+                        "window, end-after, least-redials, over-usual or most-usual of detection is below its minimum");
             }
         }
     }
 
     /**
-     * What is let through in a storm, and after it.
+     * How many redials are admitted during a storm and after it.
      *
-     * @param budgetShare redials let through for each first try that got through
-     * @param budgetFloor redials a second let through in any case, so that a destination whose first tries all fail
-     *     is tried still
-     * @param budgetMost redials that an unused budget adds up to
-     * @param ramp how long after a storm, or after the return of an exchange or its circuits, redials are held to a
-     *     budget that grows; 0 for none
-     * @param rampShare what {@code budgetShare} has grown to at the end of it
-     * @param throttleFactor tries for each that gets through which {@code THROTTLE} lets pass
-     * @param leastFailing share of the tries that go on which has to come to nothing, or there is room and nobody is
-     *     held back; 0 for any that does
+     * @param budgetShare redials admitted per established fresh call, at least 0
+     * @param budgetFloor redials per second admitted in any case, above 0, so that a destination whose fresh calls all
+     *     fail is still probed
+     * @param budgetMost redials that an unused budget accumulates, at least 1
+     * @param ramp how long redials are limited by a growing budget after a storm, or after the recovery of an exchange
+     *     or of its circuits; 0 for no ramp
+     * @param rampShare value that {@code budgetShare} reaches at the end of the ramp; at least {@code budgetShare}
+     * @param throttleFactor multiple of the established calls that {@code THROTTLE} admits, at least 1
+     * @param leastFailing share of the passed calls, from 0 to 1, that has to fail before redials are limited; below
+     *     it there is capacity. With 0 a single failure is enough
      */
     public record Damping(Method method, double budgetShare, double budgetFloor, double budgetMost, long ramp,
             double rampShare, double throttleFactor, double leastFailing) {
-        /** Checks what a schema cannot say. */
+        /** Checks the rules that the settings schema cannot express. */
         public Damping {
             if (!(rampShare >= budgetShare)) {
                 throw new IllegalArgumentException("ramp-share is below budget-share");
             }
             if (!(budgetMost >= 1) || !(budgetShare >= 0) || !(budgetFloor > 0) || ramp < 0
                     || !(throttleFactor >= 1) || !(leastFailing >= 0 && leastFailing <= 1)) {
-                throw new IllegalArgumentException("a figure of damping is below its least");
+                throw new IllegalArgumentException("budget-most, budget-share, budget-floor, ramp, throttle-factor or "
+                        + "least-failing of damping is out of its bounds");
             }
         }
     }
 
     /**
-     * How those who come back are spread and known.
+     * What waits rejected callers are advised, and how redials are recognised.
      *
-     * @param longestWait the longest wait that is told
-     * @param spreadRefusals whether those whom the module refuses in a storm are told a place in the line too
-     * @param redialTime how long after a failure a try of the same number counts as a redial though it is unmarked;
-     *     0 for never
-     * @param mostTries tries of a number within that time above which many call it, and nothing is told from it
-     * @param early how much sooner than told a caller may come without being early
-     * @param mostNumbers numbers that are remembered; beyond, the one heard of longest ago is forgotten
-     * @param mostKeys destinations that are watched; likewise
+     * @param longestWait maximum wait that is advised, at least 1
+     * @param spreadRefusals whether callers that the decision module refuses during a storm are assigned a retry time
+     *     too
+     * @param redialTime how long after a failure a call to the same number counts as a redial although it is not
+     *     marked; 0 to rely on marks alone
+     * @param mostTries calls to a number within that time above which many callers are assumed to dial it, so that its
+     *     calls are not classified, at least 1
+     * @param early tolerance for redials before the advised time, which do not count as early
+     * @param mostNumbers maximum of called numbers remembered; beyond it the least recently used one is evicted
+     * @param mostKeys maximum of destinations tracked; beyond it the least recently used one is evicted
      */
     public record Returns(long longestWait, boolean spreadRefusals, long redialTime, int mostTries, long early,
             int mostNumbers, int mostKeys) {
-        /** Checks what a schema cannot say. */
+        /** Checks the rules that the settings schema cannot express. */
         public Returns {
             if (longestWait < 1 || redialTime < 0 || mostTries < 1 || early < 0 || mostNumbers < 1 || mostKeys < 1) {
-                throw new IllegalArgumentException("a figure of those who return is below its least");
+                throw new IllegalArgumentException("longest-wait, redial-time, most-tries, early, most-numbers or "
+                        + "most-keys of returns is below its minimum");
             }
         }
     }
 
-    /** The same, with waits of at most what callers keep to: longer ones would all come back together then. */
-    public StormFigures within(long mostWait) {
-        return new StormFigures(detection, damping, new Returns(Math.max(1, Math.min(returns.longestWait, mostWait)),
+    /**
+     * Returns a copy whose waits do not exceed the wait that callers honour; callers that were advised longer ones
+     * would all return together at its end.
+     */
+    public StormFigures within(long maxHonouredWait) {
+        return new StormFigures(detection, damping,
+                new Returns(Math.max(1, Math.min(returns.longestWait, maxHonouredWait)),
                 returns.spreadRefusals, returns.redialTime, returns.mostTries, returns.early, returns.mostNumbers,
                 returns.mostKeys));
     }
 
-    /** The same, held back by another method. */
+    /** Returns a copy with another damping method. */
     public StormFigures by(Method method) {
         return new StormFigures(detection, new Damping(method, damping.budgetShare, damping.budgetFloor,
                 damping.budgetMost, damping.ramp, damping.rampShare, damping.throttleFactor,
--- a/src/main/java/wingspread/storm/StormGate.java
+++ b/src/main/java/wingspread/storm/StormGate.java
@@ -8,274 +8,297 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Holds redials back while callers dial again in a storm, and for a while after it, as far as the destination's budget
- * does not cover them. A first try is never turned away here, unless its number tells that it is a redial without a
- * mark, and each destination's budget is its own. Whoever is
- * turned away is to be answered at once, with the wait that this gate names.
+ * Admission control against retry storms. During a storm, and during the ramp after it, redials toward a destination
+ * are rejected beyond the budget of that destination. Each destination has a budget of its own. Fresh calls always
+ * pass, except those that the history of the called number identifies as unmarked redials. A rejected caller is to be
+ * answered immediately, with the wait that the gate returns. All times are in microseconds.
  */
 public final class StormGate {
-    /** What becomes of a try. */
+    /** The decision about a call offer. */
     public sealed interface Verdict { }
 
-    /** It goes on to the module; {@code seen} is the try as it is counted from here on. */
+    /**
+     * The call is passed on to the decision module.
+     *
+     * @param seen the offer with its final classification as fresh call or redial; later notifications take this one
+     */
     public record Pass(Try seen) implements Verdict { }
 
-    /** It is refused; the caller is told to wait so long, in microseconds. */
+    /**
+     * The call is rejected.
+     *
+     * @param advised wait before the next redial that the caller is advised, in microseconds
+     */
     public record TurnedAway(long advised, Reason reason) implements Verdict { }
 
-    /** Why. */
+    /** Why a redial is rejected. */
     public enum Reason {
-        /** The budget has no redial left. */
+        /** The budget does not cover another redial. */
         NO_BUDGET,
-        /** The caller was told to come later. */
+        /** The caller redialled before the end of the wait that it was advised. */
         EARLY
     }
 
-    /** Looks come so often while there is a storm, in microseconds. */
+    /** Interval in microseconds at which {@link #look} is to be called while a storm is active. */
     public static final long LOOK_EVERY = 250_000;
     private static final int NO_REGION = -1;
-    /** Circuits that grow by this factor at once have come back. */
-    private static final double CAME_BACK = 1.25;
+    /** An increase of the working circuits by this factor in one report counts as the recovery of circuits. */
+    private static final double RECOVERY_FACTOR = 1.25;
 
-    private final StormFigures figures;
-    private final double[] worths;
+    private final StormFigures parameters;
+    private final double[] classValues;
     private final RandomGenerator random;
     private final StormNews.Listener listener;
-    private final NumberMemory numbers;
-    private final StormDetector all;
-    /** By region; as many as the destinations that are listed name. */
-    private final Map<Integer, StormDetector> regions = new HashMap<>();
-    private final Map<Integer, Integer> regionOf = new HashMap<>();
-    /** How many there are, over all scopes; told for every call, and so counted and not looked for. */
-    private int storms;
-    /** By destination, the one heard of longest ago first. */
+    private final RedialHistory history;
+    private final StormDetector globalDetector;
+    /** Detectors by region, for the regions of the listed destinations. */
+    private final Map<Integer, StormDetector> regionDetectors = new HashMap<>();
+    private final Map<Integer, Integer> regionByDestination = new HashMap<>();
+    /** Number of active storms over all scopes. Kept as a counter because it is queried on every call. */
+    private int activeStorms;
+    /** Destinations by number, in access order: the least recently used one comes first. */
     private final Map<Integer, Destination> destinations = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** What is known of one destination. */
+    /** State of one destination. */
     private final class Destination {
         final StormDetector detector;
-        final Damper damper;
-        final ReturnSchedule schedule;
-        final DecayingRate through;
-        /** Tries that were let go on, by what came of them. */
-        final DecayingRate stood;
+        /** Null if redials are not limited. */
+        final RedialLimiter limiter;
+        final RetrySchedule schedule;
+        /** Rate of established fresh calls. */
+        final DecayingRate establishedFresh;
+        /** Rate of passed calls that were established, fresh calls and redials. */
+        final DecayingRate established;
+        /** Rate of passed calls that failed, fresh calls and redials. */
         final DecayingRate failed;
-        final Ramp ramp = new Ramp(figures.damping());
-        boolean stormy;
+        final Ramp ramp = new Ramp(parameters.damping());
+        boolean stormActive;
+        /** Working circuits as last reported; NaN before the first report. */
         double circuits = Double.NaN;
 
         Destination(long now) {
-            long window = figures.detection().window();
-            detector = new StormDetector(now, figures.detection());
-            damper = damper(now, window);
-            schedule = new ReturnSchedule(now, figures.returns().longestWait(), random);
-            through = new DecayingRate(now, window);
-            stood = new DecayingRate(now, window);
+            long window = parameters.detection().window();
+            detector = new StormDetector(now, parameters.detection());
+            limiter = newLimiter(now, window);
+            schedule = new RetrySchedule(now, parameters.returns().longestWait(), random);
+            establishedFresh = new DecayingRate(now, window);
+            established = new DecayingRate(now, window);
             failed = new DecayingRate(now, window);
         }
 
         /**
-         * Whether enough of what goes on comes to nothing. Guards those who dial again where there is room, as after
-         * a restart of this program, whose callers all come back at once.
+         * Whether the share of passed calls that fail reaches the minimum for limiting redials. Without this check
+         * callers would be rejected although there is capacity, for example when all of them redial at once after a
+         * restart of this process.
          */
-        boolean failing(long now) {
-            double lost = failed.perSecond(now);
-            return lost > figures.damping().leastFailing() * (lost + stood.perSecond(now));
+        boolean isFailing(long now) {
+            double failures = failed.perSecond(now);
+            return failures > parameters.damping().leastFailing() * (failures + established.perSecond(now));
         }
 
-        /** Null where redials are not held back. */
-        private Damper damper(long now, long window) {
-            return switch (figures.damping().method()) {
-                case BUDGET -> new FairBudget(now, figures.damping(), window, worths);
-                case THROTTLE -> new AdaptiveThrottle(now, figures.damping(), window, random);
-                case GAP -> new RateGap(now, figures.damping());
+        private RedialLimiter newLimiter(long now, long window) {
+            return switch (parameters.damping().method()) {
+                case BUDGET -> new FairBudget(now, parameters.damping(), window, classValues);
+                case THROTTLE -> new AdaptiveThrottle(now, parameters.damping(), window, random);
+                case GAP -> new RateGap(now, parameters.damping());
                 case SPREAD -> null;
             };
         }
 
-        /** Whether redials are held back now; begins the ramp where a storm has just ended. */
-        boolean holds(long now, boolean storm) {
-            if (storm && !stormy && damper != null) {
-                damper.began(now, through.perSecond(now));
+        /** Updates the storm state and returns whether redials are limited now; starts the ramp when a storm ends. */
+        boolean updateLimiting(long now, boolean storm) {
+            if (storm && !stormActive && limiter != null) {
+                limiter.onStormBegan(now, establishedFresh.perSecond(now));
             }
-            if (!storm && stormy) {
+            if (!storm && stormActive) {
                 ramp.begin(now);
             }
-            stormy = storm;
-            return storm || ramp.on(now);
+            stormActive = storm;
+            return storm || ramp.isActive(now);
         }
 
         double share(long now) {
-            return stormy ? figures.damping().budgetShare() : ramp.share(now);
+            return stormActive ? parameters.damping().budgetShare() : ramp.share(now);
         }
 
-        long place(long now) {
-            return schedule.waitFor(now, share(now) * through.perSecond(now) + figures.damping().budgetFloor());
+        long nextWait(long now) {
+            return schedule.waitFor(now,
+                    share(now) * establishedFresh.perSecond(now) + parameters.damping().budgetFloor());
         }
     }
 
     /**
-     * A gate that has seen nothing.
+     * Creates a gate without any history.
      *
-     * @param worths of the classes, by their numbers
-     * @param listener hears of each beginning and end of a storm
+     * @param classValues value of each call class, indexed by class number
+     * @param listener notified of the beginning and the end of each storm
      */
-    public StormGate(long now, StormFigures figures, List<Double> worths, RandomGenerator random,
+    public StormGate(long now, StormFigures parameters, List<Double> classValues, RandomGenerator random,
             StormNews.Listener listener) {
-        this.figures = figures;
-        this.worths = worths.stream().mapToDouble(Double::doubleValue).toArray();
+        this.parameters = parameters;
+        this.classValues = classValues.stream().mapToDouble(Double::doubleValue).toArray();
         this.random = random;
         this.listener = listener;
-        this.numbers = new NumberMemory(figures.returns());
-        this.all = new StormDetector(now, figures.detection());
+        this.history = new RedialHistory(parameters.returns());
+        this.globalDetector = new StormDetector(now, parameters.detection());
     }
 
-    /** A destination lies in a region. */
+    /** Records the region of a destination that the directory lists. */
     public void listed(long now, int destination, int region) {
-        if (regionOf.size() < figures.returns().mostKeys() || regionOf.containsKey(destination)) {
-            regionOf.put(destination, region);
-            regions.computeIfAbsent(region, r -> new StormDetector(now, figures.detection()));
+        if (regionByDestination.size() < parameters.returns().mostKeys()
+                || regionByDestination.containsKey(destination)) {
+            regionByDestination.put(destination, region);
+            regionDetectors.computeIfAbsent(region, r -> new StormDetector(now, parameters.detection()));
         }
     }
 
-    /** A subscriber's call comes in. */
-    public Verdict offered(long now, Try tried) {
-        NumberMemory.Sign sign = numbers.tried(now, tried.number());
-        boolean again = tried.again() || sign != NumberMemory.Sign.NONE;
-        Destination known = destination(now, tried.destination());
-        tell(now, StormNews.Scope.DESTINATION, tried.destination(), known.detector, known.detector.tried(now, again));
-        int region = regionOf.getOrDefault(tried.destination(), NO_REGION);
-        StormDetector regional = regions.get(region);
-        if (regional != null) {
-            tell(now, StormNews.Scope.REGION, region, regional, regional.tried(now, again));
+    /** Decides whether a subscriber's call is passed on. */
+    public Verdict offered(long now, Try callOffer) {
+        RedialHistory.Classification classification = history.offered(now, callOffer.calledNumber());
+        boolean redial = callOffer.again() || classification != RedialHistory.Classification.NONE;
+        Destination destination = destination(now, callOffer.destination());
+        notifyListener(now, StormNews.Scope.DESTINATION, callOffer.destination(), destination.detector,
+                destination.detector.offered(now, redial));
+        int region = regionByDestination.getOrDefault(callOffer.destination(), NO_REGION);
+        StormDetector regionDetector = regionDetectors.get(region);
+        if (regionDetector != null) {
+            notifyListener(now, StormNews.Scope.REGION, region, regionDetector, regionDetector.offered(now, redial));
         }
-        tell(now, StormNews.Scope.ALL, 0, all, all.tried(now, again));
-        boolean holds = known.holds(now, stormy(known, regional));
-        Pass pass = new Pass(new Try(tried.destination(), tried.callClass(), tried.number(), again, tried.width()));
-        if (known.damper == null) {
+        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.offered(now, redial));
+        boolean limiting = destination.updateLimiting(now, stormAffects(destination, regionDetector));
+        Pass pass = new Pass(new Try(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(), redial,
+                callOffer.width()));
+        if (destination.limiter == null) {
             return pass;
         }
-        if (!again) {
-            known.damper.firstTry(now);
+        if (!redial) {
+            destination.limiter.onFreshCall(now);
             return pass;
         }
-        if (!holds || !known.failing(now)) {
+        if (!limiting || !destination.isFailing(now)) {
             return pass;
         }
-        if (sign == NumberMemory.Sign.EARLY) {
-            // Its place in the line stays the one it was told: who comes early gains and costs nothing.
-            long told = numbers.told(tried.number());
-            numbers.failed(now, tried.number(), told);
-            // Guards against a clock that has stepped back: nobody is told more than the longest wait.
-            return new TurnedAway(Math.min(told - now, figures.returns().longestWait()), Reason.EARLY);
+        if (classification == RedialHistory.Classification.EARLY) {
+            // The caller keeps the retry time that it was advised, so an early redial neither gains nor costs it time.
+            long retryAt = history.retryAt(callOffer.calledNumber());
+            history.failed(now, callOffer.calledNumber(), retryAt);
+            // After a backward step of the clock the remaining time could exceed the maximum wait.
+            return new TurnedAway(Math.min(retryAt - now, parameters.returns().longestWait()), Reason.EARLY);
         }
-        known.damper.share(known.share(now));
-        if (known.damper.lets(now, tried.callClass(), tried.width())) {
+        destination.limiter.setShare(destination.share(now));
+        if (destination.limiter.tryAcquire(now, callOffer.callClass(), callOffer.width())) {
             return pass;
         }
-        long wait = known.place(now);
-        numbers.failed(now, tried.number(), now + wait);
+        long wait = destination.nextWait(now);
+        history.failed(now, callOffer.calledNumber(), now + wait);
         return new TurnedAway(wait, Reason.NO_BUDGET);
     }
 
-    private boolean stormy(Destination known, StormDetector regional) {
-        return known.detector.storm() || all.storm() || regional != null && regional.storm();
+    private boolean stormAffects(Destination destination, StormDetector regionDetector) {
+        return destination.detector.isActive() || globalDetector.isActive()
+                || regionDetector != null && regionDetector.isActive();
     }
 
-    /** A try that was let pass came to stand. */
+    /** Records that a passed call was established. */
     public void gotThrough(long now, Try seen) {
-        Destination known = destination(now, seen.destination());
+        Destination destination = destination(now, seen.destination());
         if (!seen.again()) {
-            known.through.add(now, 1);
+            destination.establishedFresh.add(now, 1);
         }
-        known.stood.add(now, 1);
-        if (known.damper != null) {
-            known.damper.gotThrough(now, seen.again());
+        destination.established.add(now, 1);
+        if (destination.limiter != null) {
+            destination.limiter.onEstablished(now, seen.again());
         }
-        numbers.stood(seen.number());
+        history.callEstablished(seen.calledNumber());
     }
 
     /**
-     * The module refuses a try that was let pass.
+     * Records that the decision module refused a passed call.
      *
-     * @param advised the wait that the module names, 0 for none
-     * @return the wait to tell the caller: never less than the module's
+     * @param advised wait that the module advises, in microseconds; 0 for none
+     * @return the wait to advise to the caller, in microseconds: at least the module's; 0 for none
      */
     public long refused(long now, Try seen, long advised) {
-        Destination known = destination(now, seen.destination());
-        known.failed.add(now, 1);
+        Destination destination = destination(now, seen.destination());
+        destination.failed.add(now, 1);
         long wait = advised;
-        if (figures.returns().spreadRefusals() && known.stormy) {
-            wait = Math.max(advised, known.place(now));
+        if (parameters.returns().spreadRefusals() && destination.stormActive) {
+            wait = Math.max(advised, destination.nextWait(now));
         }
-        numbers.failed(now, seen.number(), wait > 0 ? now + wait : 0);
+        history.failed(now, seen.calledNumber(), wait > 0 ? now + wait : 0);
         return wait;
     }
 
-    /** A try that was let pass failed or was given up, and its caller was told nothing. */
+    /** Records that a passed call failed or was abandoned, and that its caller was advised no wait. */
     public void failed(long now, Try seen) {
         destination(now, seen.destination()).failed.add(now, 1);
-        numbers.failed(now, seen.number(), 0);
+        history.failed(now, seen.calledNumber(), 0);
     }
 
-    /** A destination has come back: load toward it goes up along a ramp. */
+    /** Records that a destination has recovered: its redials are admitted along a ramp. */
     public void cameBack(long now, int destination) {
         destination(now, destination).ramp.begin(now);
     }
 
-    /** Circuits that work toward a destination, NaN where not told; a jump upward is a return. */
-    public void circuits(long now, int destination, double working) {
+    /**
+     * Records how many circuits work toward a destination. A sudden increase counts as a recovery.
+     *
+     * @param working number of circuits; NaN if not reported
+     */
+    public void circuits(long now, int destinationNumber, double working) {
         if (Double.isNaN(working)) {
             return;
         }
-        Destination known = destination(now, destination);
-        if (working >= CAME_BACK * known.circuits) {
-            known.ramp.begin(now);
+        Destination destination = destination(now, destinationNumber);
+        if (working >= RECOVERY_FACTOR * destination.circuits) {
+            destination.ramp.begin(now);
         }
-        known.circuits = working;
+        destination.circuits = working;
     }
 
-    /** Time has passed: storms that have blown over end. */
+    /** Updates all detectors to the current time, so that storms end even when no more calls are offered. */
     public void look(long now) {
-        tell(now, StormNews.Scope.ALL, 0, all, all.look(now));
-        regions.forEach((region, detector) ->
-                tell(now, StormNews.Scope.REGION, region, detector, detector.look(now)));
-        destinations.forEach((number, known) -> {
-            tell(now, StormNews.Scope.DESTINATION, number, known.detector, known.detector.look(now));
-            known.holds(now, stormy(known, regions.get(regionOf.getOrDefault(number, NO_REGION))));
+        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.look(now));
+        regionDetectors.forEach((region, detector) ->
+                notifyListener(now, StormNews.Scope.REGION, region, detector, detector.look(now)));
+        destinations.forEach((number, destination) -> {
+            notifyListener(now, StormNews.Scope.DESTINATION, number, destination.detector,
+                    destination.detector.look(now));
+            destination.updateLimiting(now, stormAffects(destination,
+                    regionDetectors.get(regionByDestination.getOrDefault(number, NO_REGION))));
         });
     }
 
-    /** Whether there is a storm anywhere, so that looks are wanted. */
+    /** Whether a storm is active in any scope, so that {@link #look} has to be called periodically. */
     public boolean stormy() {
-        return storms > 0;
+        return activeStorms > 0;
     }
 
-    /** Destinations that are known, at most as many as the figures say. */
-    int known() {
+    /** Returns the number of destinations whose state is kept. */
+    int destinationCount() {
         return destinations.size();
     }
 
     private Destination destination(long now, int number) {
-        Destination known = destinations.get(number);
-        if (known == null) {
-            if (destinations.size() >= figures.returns().mostKeys()) {
-                Iterator<Destination> oldest = destinations.values().iterator();
-                storms -= oldest.next().detector.storm() ? 1 : 0;
-                oldest.remove();
+        Destination destination = destinations.get(number);
+        if (destination == null) {
+            if (destinations.size() >= parameters.returns().mostKeys()) {
+                Iterator<Destination> leastRecentlyUsed = destinations.values().iterator();
+                activeStorms -= leastRecentlyUsed.next().detector.isActive() ? 1 : 0;
+                leastRecentlyUsed.remove();
             }
-            known = new Destination(now);
-            destinations.put(number, known);
+            destination = new Destination(now);
+            destinations.put(number, destination);
         }
-        return known;
+        return destination;
     }
 
-    private void tell(long now, StormNews.Scope scope, int number, StormDetector detector,
+    private void notifyListener(long now, StormNews.Scope scope, int number, StormDetector detector,
             StormDetector.Change change) {
         if (change != StormDetector.Change.NONE) {
-            storms += change == StormDetector.Change.BEGAN ? 1 : -1;
-            listener.heard(new StormNews(scope, number, change == StormDetector.Change.BEGAN,
-                    detector.redialsPerSecond(now), detector.firstTriesPerSecond(now), detector.usualRatio(now)));
+            activeStorms += change == StormDetector.Change.BEGAN ? 1 : -1;
+            listener.onStormEvent(new StormNews(scope, number, change == StormDetector.Change.BEGAN,
+                    detector.redialsPerSecond(now), detector.freshCallsPerSecond(now), detector.baselineRatio(now)));
         }
     }
 }
--- a/src/main/java/wingspread/storm/StormNews.java
+++ b/src/main/java/wingspread/storm/StormNews.java
@@ -1,19 +1,20 @@
 package wingspread.storm;
 
 /**
- * A storm began or ended.
+ * The beginning or the end of a storm.
  *
- * @param number of the destination or region; 0 for all
- * @param usualRatio redials for each first try as they were before the storm
+ * @param number of the destination or region; 0 for {@link Scope#ALL}
+ * @param began true for the beginning, false for the end
+ * @param firstTriesPerSecond current rate of fresh calls
+ * @param usualRatio redials per fresh call outside of storms
  */
 public record StormNews(Scope scope, int number, boolean began, double redialsPerSecond, double firstTriesPerSecond,
         double usualRatio) {
-    /** What a storm is over. */
+    /** The part of the network in which a storm was detected. */
     public enum Scope { DESTINATION, REGION, ALL }
 
-    /** Who is told. */
+    /** Receives the beginning and the end of storms. */
     public interface Listener {
-        /** Hears of one beginning or end. */
-        void heard(StormNews news);
+        void onStormEvent(StormNews event);
     }
 }
--- a/src/main/java/wingspread/storm/SurgeDetector.java
+++ b/src/main/java/wingspread/storm/SurgeDetector.java
@@ -1,78 +1,80 @@
 package wingspread.storm;
 
 /**
- * Whether newcomers arrive in a surge: their rate against their usual one, which is learnt outside of surges, from
- * what lies a window back. It begins at a multiple of the usual rate and ends at half of that.
+ * Detects surges of new connections by comparing their rate with a baseline. The baseline is learnt only outside of
+ * surges, one window late. A surge begins at a multiple of the baseline and ends at half of that rate. All times are
+ * in microseconds.
  */
 public final class SurgeDetector {
     private static final double HALF = 0.5;
 
     private final DecayingRate rate;
-    private final DecayingRate usual;
-    private final long window;
-    private final double factor;
-    private final double least;
-    private long youngSince;
-    private long young;
-    private long older;
-    private boolean surge;
+    private final DecayingRate baseline;
+    private final long windowMicros;
+    private final double onsetFactor;
+    private final double minPerSecond;
+    private long intervalStart;
+    private long currentCount;
+    private long previousCount;
+    private boolean active;
 
     /**
-     * Has seen nothing yet.
+     * Creates a detector that has counted no connections.
      *
-     * @param window time constant of the rate of now, in microseconds
-     * @param usualWindow of the usual rate
-     * @param factor times the usual rate at which a surge begins
-     * @param least newcomers a second under which nothing is a surge
+     * @param windowMicros time constant of the current rate, in microseconds
+     * @param baselineWindowMicros time constant of the baseline, in microseconds
+     * @param onsetFactor multiple of the baseline at which a surge begins
+     * @param minPerSecond new connections per second below which no surge begins
      */
-    public SurgeDetector(long now, long window, long usualWindow, double factor, double least) {
-        this.rate = new DecayingRate(now, window);
-        this.usual = new DecayingRate(now, usualWindow);
-        this.window = window;
-        this.factor = factor;
-        this.least = least;
-        this.youngSince = now;
+    public SurgeDetector(long now, long windowMicros, long baselineWindowMicros, double onsetFactor,
+            double minPerSecond) {
+        this.rate = new DecayingRate(now, windowMicros);
+        this.baseline = new DecayingRate(now, baselineWindowMicros);
+        this.windowMicros = windowMicros;
+        this.onsetFactor = onsetFactor;
+        this.minPerSecond = minPerSecond;
+        this.intervalStart = now;
     }
 
-    /** A newcomer arrives; true where the surge begins or ends with it. */
+    /** Counts a new connection; returns true if a surge begins or ends with it. */
     public boolean arrived(long now) {
         rate.add(now, 1);
-        if (!surge) {
-            young++;
+        if (!active) {
+            currentCount++;
         }
         return look(now);
     }
 
-    /** Time has passed; true where the surge begins or ends. */
+    /** Updates the state to the current time; returns true if a surge begins or ends. */
     public boolean look(long now) {
-        if (now - youngSince >= window) {
-            usual.add(now, older);
-            older = young;
-            young = 0;
-            youngSince = now;
+        if (now - intervalStart >= windowMicros) {
+            baseline.add(now, previousCount);
+            previousCount = currentCount;
+            currentCount = 0;
+            intervalStart = now;
         }
-        double onset = Math.max(least, factor * usual.perSecond(now));
-        boolean before = surge;
-        surge = rate.perSecond(now) > (before ? HALF * onset : onset);
-        if (surge && !before) {
-            young = 0;
-            older = 0;
+        double onset = Math.max(minPerSecond, onsetFactor * baseline.perSecond(now));
+        boolean wasActive = active;
+        active = rate.perSecond(now) > (wasActive ? HALF * onset : onset);
+        if (active && !wasActive) {
+            currentCount = 0;
+            previousCount = 0;
         }
-        return surge != before;
+        return active != wasActive;
     }
 
-    /** Whether there is one now. */
+    /** Whether a surge is active. */
     public boolean surge() {
-        return surge;
+        return active;
     }
 
-    /** Newcomers a second now. */
+    /** Returns the current rate of new connections per second. */
     public double perSecond(long now) {
         return rate.perSecond(now);
     }
 
-    /** Newcomers a second as they are outside of surges. */
+    /** Returns the baseline rate of new connections per second. */
     public double usualPerSecond(long now) {
-        return usual.perSecond(now);
+        return baseline.perSecond(now);
     }
 }
--- a/src/main/java/wingspread/storm/Try.java
+++ b/src/main/java/wingspread/storm/Try.java
@@ -1,10 +1,12 @@
 package wingspread.storm;
 
 /**
- * A subscriber's try as the gate sees it.
+ * The offer of a subscriber's call, as the storm gate classifies it.
  *
- * @param number of whom it calls; 0 where none is told
- * @param again whether it is marked as a redial, or as a cut call that comes again
- * @param width circuits that it takes, above 0
+ * @param destination number of the exchange that serves the called subscriber
+ * @param callClass number of the call's class
+ * @param calledNumber called number; 0 if not known
+ * @param again whether the call is a redial, or the new attempt of a caller whose call was cut off
+ * @param width circuits that the call takes, above 0
  */
-public record Try(int destination, int callClass, long number, boolean again, double width) { }
+public record Try(int destination, int callClass, long calledNumber, boolean again, double width) { }
--- a/src/test/java/wingspread/storm/StormGateTest.java
+++ b/src/test/java/wingspread/storm/StormGateTest.java
@@ -13,299 +13,310 @@
 import wingspread.storm.StormGate.TurnedAway;
 import wingspread.storm.StormGate.Verdict;
 
-/** The gate turns away redials in a storm, and nobody else. */
+/** Tests that the gate rejects redials during a storm, and no other calls. */
 class StormGateTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    private static final StormFigures USUAL = StormFigures.USUAL;
+    private static final StormFigures DEFAULT_PARAMETERS = StormFigures.USUAL;
 
-    private final List<StormNews> news = new ArrayList<>();
-    private final List<Verdict> again = new ArrayList<>();
-    private StormGate gate = gate(USUAL);
+    private final List<StormNews> events = new ArrayList<>();
+    private final List<Verdict> redialVerdicts = new ArrayList<>();
+    private StormGate gate = gate(DEFAULT_PARAMETERS);
     private long nextNumber = 1_000_000;
 
-    private StormGate gate(StormFigures figures) {
-        return new StormGate(0, figures, List.of(1.0, 3.0), new SplittableRandom(1), news::add);
+    private StormGate gate(StormFigures parameters) {
+        return new StormGate(0, parameters, List.of(1.0, 3.0), new SplittableRandom(1), events::add);
     }
 
-    private Verdict offer(long at, int destination, long number, boolean marked) {
+    private Verdict offerCall(long at, int destination, long number, boolean marked) {
         return gate.offered(at, new Try(destination, 0, number, marked, 1));
     }
 
-    /** A redial; one that is let go on comes to nothing. */
-    private Verdict redial(long at, int destination) {
-        Verdict verdict = offer(at, destination, nextNumber++, true);
+    /** Offers a marked redial to a new number; if it passes, it fails. */
+    private Verdict offerRedial(long at, int destination) {
+        Verdict verdict = offerCall(at, destination, nextNumber++, true);
         if (verdict instanceof Pass pass) {
             gate.failed(at, pass.seen());
         }
         return verdict;
     }
 
-    /** Tries toward one destination, each of a number of its own; each first try gets through, no redial does. */
-    private void calls(long from, long to, int destination, double firstTries, double redials, long seed) {
+    /**
+     * Offers fresh calls and redials toward one destination at the given rates per second, each to a number of its own.
+     * Every fresh call has to pass and is established; every redial that passes fails.
+     */
+    private void offerCalls(long fromSecond, long toSecond, int destination, double freshPerSecond,
+            double redialsPerSecond, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        for (long at = from * SECOND; at < to * SECOND; at += 1_000) {
-            if (random.nextDouble() < firstTries / 1_000) {
-                Verdict verdict = offer(at, destination, nextNumber++, false);
+        for (long at = fromSecond * SECOND_MICROS; at < toSecond * SECOND_MICROS; at += 1_000) {
+            if (random.nextDouble() < freshPerSecond / 1_000) {
+                Verdict verdict = offerCall(at, destination, nextNumber++, false);
                 assertTrue(verdict instanceof Pass pass && !pass.seen().again());
                 gate.gotThrough(at, ((Pass) verdict).seen());
             }
-            if (random.nextDouble() < redials / 1_000) {
-                again.add(redial(at, destination));
+            if (random.nextDouble() < redialsPerSecond / 1_000) {
+                redialVerdicts.add(offerRedial(at, destination));
             }
         }
-        gate.look(to * SECOND);
+        gate.look(toSecond * SECOND_MICROS);
     }
 
-    private long turnedAway() {
-        return again.stream().filter(TurnedAway.class::isInstance).count();
+    private long rejectedCount() {
+        return redialVerdicts.stream().filter(TurnedAway.class::isInstance).count();
     }
 
     @Property(tries = 30, seed = "91")
-    void aCrowdLosesNobody(@ForAll long seed) {
+    void flashCrowdIsNotLimited(@ForAll long seed) {
         StormGateTest test = new StormGateTest();
-        test.calls(0, 10, 1, 20, 1, seed);
-        test.calls(10, 20, 1, 300, 20, seed + 1);
-        assertEquals(0, test.turnedAway());
-        assertEquals(List.of(), test.news);
+        test.offerCalls(0, 10, 1, 20, 1, seed);
+        test.offerCalls(10, 20, 1, 300, 20, seed + 1);
+        assertEquals(0, test.rejectedCount());
+        assertEquals(List.of(), test.events);
     }
 
     @Property(tries = 30, seed = "92")
-    void aStormIsHeldToItsBudgetAndWaitsLieWithinTheLongest(@ForAll long seed) {
+    void stormIsLimitedToBudgetWithWaitsUpToTheMaximum(@ForAll long seed) {
         StormGateTest test = new StormGateTest();
-        test.calls(0, 10, 1, 40, 2, seed);
-        test.again.clear();
-        test.calls(10, 20, 1, 40, 200, seed + 1);
-        long let = test.again.size() - test.turnedAway();
-        // A share of 0.5 of 40 first tries, a floor of 0.5, ten seconds; and what went before the storm was seen.
-        assertTrue(let < 205 + 10 + 100, let + " of " + test.again.size() + " let through");
-        assertTrue(test.again.stream().allMatch(v -> !(v instanceof TurnedAway away)
-                || away.advised() >= 1 && away.advised() <= USUAL.returns().longestWait()));
-        assertEquals(2, test.news.size(), test.news::toString);
+        test.offerCalls(0, 10, 1, 40, 2, seed);
+        test.redialVerdicts.clear();
+        test.offerCalls(10, 20, 1, 40, 200, seed + 1);
+        long admitted = test.redialVerdicts.size() - test.rejectedCount();
+        // A share of 0.5 of 40 fresh calls and a floor of 0.5, both per second, admit 205 redials in ten seconds. The
+        // rest allows for redials that pass before the storm is detected.
+        assertTrue(admitted < 205 + 10 + 100, admitted + " of " + test.redialVerdicts.size() + " redials admitted");
+        assertTrue(test.redialVerdicts.stream().allMatch(v -> !(v instanceof TurnedAway rejection)
+                || rejection.advised() >= 1 && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()));
+        assertEquals(2, test.events.size(), test.events::toString);
     }
 
     @Test
-    void oneDestinationsStormTouchesNoOther() {
-        calls(0, 10, 1, 10, 200, 3);
-        assertTrue(turnedAway() > 0);
-        again.clear();
-        calls(10, 11, 2, 40, 4, 4);
-        assertEquals(0, turnedAway());
+    void stormOfOneDestinationDoesNotLimitAnother() {
+        offerCalls(0, 10, 1, 10, 200, 3);
+        assertTrue(rejectedCount() > 0);
+        redialVerdicts.clear();
+        offerCalls(10, 11, 2, 40, 4, 4);
+        assertEquals(0, rejectedCount());
     }
 
-    private List<String> told() {
-        return news.stream().map(n -> n.scope() + " " + n.number() + (n.began() ? " began" : " ended")).toList();
+    private List<String> eventLines() {
+        return events.stream().map(e -> e.scope() + " " + e.number() + (e.began() ? " began" : " ended")).toList();
     }
 
     @Test
-    void aStormThatIsOverIsSaidAndAfterTheRampTurnsNobodyAway() {
-        calls(0, 5, 1, 10, 200, 5);
-        long at = 5 * SECOND;
+    void notifiesOfEndOfStormAndPassesRedialsAfterTheRamp() {
+        offerCalls(0, 5, 1, 10, 200, 5);
+        long at = 5 * SECOND_MICROS;
         while (gate.stormy()) {
             at += StormGate.LOOK_EVERY;
             gate.look(at);
         }
-        assertEquals(List.of("DESTINATION 1 began", "ALL 0 began", "ALL 0 ended", "DESTINATION 1 ended"), told());
-        assertTrue(at < 20 * SECOND, "ended at " + at);
+        assertEquals(List.of("DESTINATION 1 began", "ALL 0 began", "ALL 0 ended", "DESTINATION 1 ended"),
+                eventLines());
+        assertTrue(at < 20 * SECOND_MICROS, "ended at " + at);
         for (int i = 0; i < 100; i++) {
-            again.add(redial(at, 1));
+            redialVerdicts.add(offerRedial(at, 1));
         }
-        assertTrue(again.get(again.size() - 1) instanceof TurnedAway, "the ramp lets all in at once");
-        long after = at + USUAL.damping().ramp();
-        assertTrue(offer(after, 1, nextNumber++, true) instanceof Pass);
+        assertTrue(redialVerdicts.get(redialVerdicts.size() - 1) instanceof TurnedAway,
+                "the beginning of the ramp admits 100 redials at once");
+        long afterRamp = at + DEFAULT_PARAMETERS.damping().ramp();
+        assertTrue(offerCall(afterRamp, 1, nextNumber++, true) instanceof Pass);
     }
 
     @Test
-    void aRegionsStormHoldsRedialsTowardItsDestinationsWhichAloneHaveNone() {
-        StormFigures quietPlaces = new StormFigures(new StormFigures.Detection(2 * SECOND, 60 * SECOND, 0.5, 0.2, 3,
-                0.5, 30, SECOND), USUAL.damping(), USUAL.returns());
-        gate = gate(quietPlaces);
-        for (int place = 0; place < 10; place++) {
-            gate.listed(0, place, place < 5 ? 7 : 8);
+    void regionalStormLimitsDestinationsBelowTheirOwnThreshold() {
+        StormFigures highThreshold = new StormFigures(new StormFigures.Detection(2 * SECOND_MICROS, 60 * SECOND_MICROS,
+                0.5, 0.2, 3, 0.5, 30, SECOND_MICROS), DEFAULT_PARAMETERS.damping(), DEFAULT_PARAMETERS.returns());
+        gate = gate(highThreshold);
+        for (int destination = 0; destination < 10; destination++) {
+            gate.listed(0, destination, destination < 5 ? 7 : 8);
         }
         SplittableRandom random = new SplittableRandom(3);
-        for (long at = 0; at < 10 * SECOND; at += 10_000) {
-            again.add(redial(at, random.nextInt(5)));
-            assertTrue(offer(at, 5 + random.nextInt(5), nextNumber++, false) instanceof Pass);
-            assertTrue(offer(at, 5 + random.nextInt(5), nextNumber++, false) instanceof Pass);
+        for (long at = 0; at < 10 * SECOND_MICROS; at += 10_000) {
+            redialVerdicts.add(offerRedial(at, random.nextInt(5)));
+            assertTrue(offerCall(at, 5 + random.nextInt(5), nextNumber++, false) instanceof Pass);
+            assertTrue(offerCall(at, 5 + random.nextInt(5), nextNumber++, false) instanceof Pass);
         }
-        assertEquals(List.of("REGION 7 began"), told().stream().filter(line -> line.startsWith("REGION")).toList());
-        assertTrue(told().stream().noneMatch(line -> line.startsWith("DESTINATION")), told()::toString);
-        assertTrue(turnedAway() > 500, turnedAway() + " of " + again.size());
+        assertEquals(List.of("REGION 7 began"),
+                eventLines().stream().filter(line -> line.startsWith("REGION")).toList());
+        assertTrue(eventLines().stream().noneMatch(line -> line.startsWith("DESTINATION")), eventLines()::toString);
+        assertTrue(rejectedCount() > 500, rejectedCount() + " of " + redialVerdicts.size());
     }
 
     @Test
-    void whatComesBackIsMetAlongARamp() {
-        StormFigures.Damping usual = USUAL.damping();
-        gate = gate(new StormFigures(USUAL.detection(), new StormFigures.Damping(usual.method(), 0.05, 0.5, 2,
-                3 * SECOND, 1.5, 2, 0.1), USUAL.returns()));
+    void recoveredCircuitsAreLoadedAlongRamp() {
+        StormFigures.Damping defaults = DEFAULT_PARAMETERS.damping();
+        gate = gate(new StormFigures(DEFAULT_PARAMETERS.detection(), new StormFigures.Damping(defaults.method(), 0.05,
+                0.5, 2, 3 * SECOND_MICROS, 1.5, 2, 0.1), DEFAULT_PARAMETERS.returns()));
         gate.circuits(0, 1, 20);
-        gate.circuits(SECOND, 1, 10);
-        gate.circuits(2 * SECOND, 1, 20);
-        int[] let = new int[4];
-        for (long at = 2 * SECOND; at < 6 * SECOND; at += 50_000) {
-            Verdict first = offer(at, 1, nextNumber++, false);
-            gate.gotThrough(at, ((Pass) first).seen());
-            // As many again as first tries, of whom half are marked: too few for a storm.
-            Verdict other = at % 100_000 == 0 ? redial(at, 1) : offer(at, 1, nextNumber++, false);
-            let[(int) (at / SECOND) - 2] += other instanceof Pass ? 1 : 0;
+        gate.circuits(SECOND_MICROS, 1, 10);
+        gate.circuits(2 * SECOND_MICROS, 1, 20);
+        int[] admitted = new int[4];
+        for (long at = 2 * SECOND_MICROS; at < 6 * SECOND_MICROS; at += 50_000) {
+            Verdict freshVerdict = offerCall(at, 1, nextNumber++, false);
+            gate.gotThrough(at, ((Pass) freshVerdict).seen());
+            // As many more calls, half of them marked as redials: too few for a storm.
+            Verdict other = at % 100_000 == 0 ? offerRedial(at, 1) : offerCall(at, 1, nextNumber++, false);
+            admitted[(int) (at / SECOND_MICROS) - 2] += other instanceof Pass ? 1 : 0;
         }
-        assertTrue(let[0] < 20, let[0] + " of 20 let go on in the first second");
-        assertEquals(20, let[3], "after the ramp");
-        gate.circuits(7 * SECOND, 1, 21);
-        assertTrue(offer(7 * SECOND, 1, nextNumber++, true) instanceof Pass, "a circuit more is no return");
-        assertEquals(List.of(), news);
+        assertTrue(admitted[0] < 20, admitted[0] + " of 20 calls admitted in the first second");
+        assertEquals(20, admitted[3], "after the ramp");
+        gate.circuits(7 * SECOND_MICROS, 1, 21);
+        assertTrue(offerCall(7 * SECOND_MICROS, 1, nextNumber++, true) instanceof Pass,
+                "one more circuit is not a recovery");
+        assertEquals(List.of(), events);
     }
 
     @Test
-    void whoComesBeforeTheTimeToldIsEarlyAndGainsNothing() {
-        calls(0, 5, 1, 10, 200, 6);
-        long at = 5 * SECOND;
-        Verdict verdict = redial(at, 1);
+    void earlyRedialKeepsItsRetryTime() {
+        offerCalls(0, 5, 1, 10, 200, 6);
+        long at = 5 * SECOND_MICROS;
+        Verdict verdict = offerRedial(at, 1);
         while (verdict instanceof Pass) {
-            verdict = redial(at, 1);
+            verdict = offerRedial(at, 1);
         }
         long number = nextNumber - 1;
-        long until = at + ((TurnedAway) verdict).advised();
-        assertTrue(until > at + 2 * USUAL.returns().early(), "told " + until);
-        TurnedAway early = (TurnedAway) offer(at + 50_000, 1, number, true);
-        assertEquals(new TurnedAway(until - at - 50_000, StormGate.Reason.EARLY), early);
+        long retryAt = at + ((TurnedAway) verdict).advised();
+        assertTrue(retryAt > at + 2 * DEFAULT_PARAMETERS.returns().early(), "retry time " + retryAt);
+        TurnedAway early = (TurnedAway) offerCall(at + 50_000, 1, number, true);
+        assertEquals(new TurnedAway(retryAt - at - 50_000, StormGate.Reason.EARLY), early);
     }
 
     @Test
-    void redialsWithoutTheMarkAreKnownByTheirNumber() {
+    void recognisesUnmarkedRedialsByTheirNumber() {
         long number = 1;
-        for (long at = 0; at < 10 * SECOND; at += 50_000) {
+        for (long at = 0; at < 10 * SECOND_MICROS; at += 50_000) {
             for (int repeat = 0; repeat < 3; repeat++) {
-                Verdict verdict = offer(at + repeat * 10_000, 1, number, false);
+                Verdict verdict = offerCall(at + repeat * 10_000, 1, number, false);
                 if (verdict instanceof Pass pass) {
                     assertEquals(repeat > 0, pass.seen().again());
                     gate.failed(at + repeat * 10_000, pass.seen());
                 } else {
-                    again.add(verdict);
+                    redialVerdicts.add(verdict);
                 }
             }
             number++;
         }
-        assertTrue(turnedAway() > 100, turnedAway() + " turned away");
-        assertEquals(List.of("DESTINATION 1 began", "ALL 0 began"), told());
+        assertTrue(rejectedCount() > 100, rejectedCount() + " rejected");
+        assertEquals(List.of("DESTINATION 1 began", "ALL 0 began"), eventLines());
     }
 
     @Property(tries = 20, seed = "93")
-    void aNumberThatManyCallIsNoStormThoughMostOfThemFail(@ForAll long seed) {
+    void failingCallsOfManyCallersToOneNumberAreNoStorm(@ForAll long seed) {
         StormGateTest test = new StormGateTest();
         SplittableRandom random = new SplittableRandom(seed);
-        for (long at = 0; at < 20 * SECOND; at += 1_000) {
+        for (long at = 0; at < 20 * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < 0.02) {
-                test.gate.gotThrough(at, ((Pass) test.offer(at, 1, test.nextNumber++, false)).seen());
+                test.gate.gotThrough(at, ((Pass) test.offerCall(at, 1, test.nextNumber++, false)).seen());
             }
-            if (random.nextDouble() < 0.1 && at > 5 * SECOND) {
-                Verdict verdict = test.offer(at, 1, 1 + random.nextInt(3), false);
+            if (random.nextDouble() < 0.1 && at > 5 * SECOND_MICROS) {
+                Verdict verdict = test.offerCall(at, 1, 1 + random.nextInt(3), false);
                 test.gate.failed(at, ((Pass) verdict).seen());
             }
         }
-        assertEquals(List.of(), test.news);
+        assertEquals(List.of(), test.events);
     }
 
     @Test
-    void whomTheModuleRefusesInAStormIsToldAPlaceInTheLineAndNeverLessThanTheModuleSays() {
-        Try first = new Try(1, 0, 0, false, 1);
-        assertEquals(0, gate.refused(0, first, 0));
-        calls(0, 5, 1, 10, 200, 6);
-        int spread = 0;
+    void refusalsInStormAreSpreadAndNeverShorterThanTheAdvisedWait() {
+        Try freshCall = new Try(1, 0, 0, false, 1);
+        assertEquals(0, gate.refused(0, freshCall, 0));
+        offerCalls(0, 5, 1, 10, 200, 6);
+        int beyondOneSecond = 0;
         for (int i = 0; i < 100; i++) {
-            long wait = gate.refused(5 * SECOND, first, 1_000);
-            assertTrue(wait >= 1_000 && wait <= USUAL.returns().longestWait());
-            spread += wait > SECOND ? 1 : 0;
+            long wait = gate.refused(5 * SECOND_MICROS, freshCall, 1_000);
+            assertTrue(wait >= 1_000 && wait <= DEFAULT_PARAMETERS.returns().longestWait());
+            beyondOneSecond += wait > SECOND_MICROS ? 1 : 0;
         }
-        assertTrue(spread > 50, spread + " of 100 beyond a second");
+        assertTrue(beyondOneSecond > 50, beyondOneSecond + " of 100 waits are longer than one second");
     }
 
     @Property(tries = 30, seed = "94")
-    void whereThereIsRoomNobodyIsHeldBack(@ForAll long seed) {
+    void redialsAreNotLimitedWhileTheyAreEstablished(@ForAll long seed) {
         StormGateTest test = new StormGateTest();
         SplittableRandom random = new SplittableRandom(seed);
-        // All callers of a program that was started anew come back at once, and all get through.
-        for (long at = 0; at < 10 * SECOND; at += 1_000) {
+        // After a restart of the process all callers redial at once, and all calls are established.
+        for (long at = 0; at < 10 * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < 0.1) {
-                Verdict verdict = test.offer(at, 1, test.nextNumber++, true);
+                Verdict verdict = test.offerCall(at, 1, test.nextNumber++, true);
                 test.gate.gotThrough(at + 50_000, ((Pass) verdict).seen());
             }
         }
-        assertEquals(2, test.news.size(), test.news::toString);
+        assertEquals(2, test.events.size(), test.events::toString);
     }
 
     @Property(tries = 20, seed = "95")
-    void aStormInsideACrowdIsSeenAndNoFirstTryOfTheCrowdIsLost(@ForAll long seed) {
+    void detectsStormWithinFlashCrowdAndPassesAllFreshCalls(@ForAll long seed) {
         StormGateTest test = new StormGateTest();
-        test.calls(0, 20, 1, 20, 1, seed);
-        test.calls(20, 30, 1, 200, 10, seed + 1);
-        assertEquals(List.of(), test.news);
-        // The helper asserts of each first try that it goes on.
-        test.calls(30, 40, 1, 200, 300, seed + 2);
-        assertTrue(test.told().contains("DESTINATION 1 began"), test.told()::toString);
-        assertTrue(test.turnedAway() > 1_000, test.turnedAway() + " of " + test.again.size());
+        test.offerCalls(0, 20, 1, 20, 1, seed);
+        test.offerCalls(20, 30, 1, 200, 10, seed + 1);
+        assertEquals(List.of(), test.events);
+        // offerCalls asserts that every fresh call passes.
+        test.offerCalls(30, 40, 1, 200, 300, seed + 2);
+        assertTrue(test.eventLines().contains("DESTINATION 1 began"), test.eventLines()::toString);
+        assertTrue(test.rejectedCount() > 1_000, test.rejectedCount() + " of " + test.redialVerdicts.size());
     }
 
     @Test
-    void twoStormsThatOverlapBeginAndEndEachByItself() {
+    void overlappingStormsBeginAndEndIndependently() {
         for (int second = 0; second < 60; second++) {
-            calls(second, second + 1, 1, 40, second >= 20 && second < 30 ? 150 : 2, second);
-            calls(second, second + 1, 2, 40, second >= 25 && second < 40 ? 150 : 2, 100 + second);
+            offerCalls(second, second + 1, 1, 40, second >= 20 && second < 30 ? 150 : 2, second);
+            offerCalls(second, second + 1, 2, 40, second >= 25 && second < 40 ? 150 : 2, 100 + second);
         }
         assertEquals(List.of("DESTINATION 1 began", "DESTINATION 2 began", "DESTINATION 1 ended",
-                "DESTINATION 2 ended"), told().stream().filter(line -> line.startsWith("DESTINATION")).toList());
+                "DESTINATION 2 ended"),
+                eventLines().stream().filter(line -> line.startsWith("DESTINATION")).toList());
     }
 
     @Test
-    void aClockThatStepsByAnHourEitherWayLeavesWaitsWithinTheirBounds() {
-        long hour = 3_600 * SECOND;
-        calls(7_200, 7_205, 1, 10, 200, 8);
-        for (long at : List.of(7_205 * SECOND - hour, 7_206 * SECOND, 7_206 * SECOND + hour)) {
-            again.clear();
+    void clockStepOfAnHourKeepsWaitsWithinBounds() {
+        long hour = 3_600 * SECOND_MICROS;
+        offerCalls(7_200, 7_205, 1, 10, 200, 8);
+        for (long at : List.of(7_205 * SECOND_MICROS - hour, 7_206 * SECOND_MICROS, 7_206 * SECOND_MICROS + hour)) {
+            redialVerdicts.clear();
             for (int i = 0; i < 50; i++) {
-                // The numbers of the round before come again, and so may be early.
-                again.add(redial(at + i, 1));
-                again.add(offer(at + i, 1, nextNumber - 60, true));
+                // Redials to numbers of the previous round as well, which may count as early.
+                redialVerdicts.add(offerRedial(at + i, 1));
+                redialVerdicts.add(offerCall(at + i, 1, nextNumber - 60, true));
             }
-            assertTrue(turnedAway() > 0, "at " + at);
-            assertTrue(again.stream().allMatch(v -> !(v instanceof TurnedAway away)
-                    || away.advised() >= 1 && away.advised() <= USUAL.returns().longestWait()), "at " + at);
+            assertTrue(rejectedCount() > 0, "at " + at);
+            assertTrue(redialVerdicts.stream().allMatch(v -> !(v instanceof TurnedAway rejection)
+                    || rejection.advised() >= 1
+                    && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()), "at " + at);
         }
         for (int second = 0; second < 30; second++) {
-            gate.look((7_206 + second) * SECOND + hour);
+            gate.look((7_206 + second) * SECOND_MICROS + hour);
         }
-        assertTrue(!gate.stormy(), "half a minute later");
+        assertTrue(!gate.stormy(), "storm is still active after 30 s");
     }
 
     @Test
-    void byItselfSpreadingTurnsNobodyAway() {
-        gate = gate(USUAL.by(StormFigures.Method.SPREAD));
-        calls(0, 5, 1, 10, 200, 6);
-        assertEquals(0, turnedAway());
-        assertTrue(gate.refused(5 * SECOND, new Try(1, 0, 0, false, 1), 0) > 0);
+    void spreadMethodRejectsNoCalls() {
+        gate = gate(DEFAULT_PARAMETERS.by(StormFigures.Method.SPREAD));
+        offerCalls(0, 5, 1, 10, 200, 6);
+        assertEquals(0, rejectedCount());
+        assertTrue(gate.refused(5 * SECOND_MICROS, new Try(1, 0, 0, false, 1), 0) > 0);
     }
 
     @Test
-    void whatIsKnownIsBounded() {
+    void boundsNumberOfTrackedDestinations() {
         for (int destination = 0; destination < 5_000; destination++) {
-            offer(destination, destination, destination, true);
+            offerCall(destination, destination, destination, true);
             gate.listed(destination, destination, destination);
         }
-        assertEquals(USUAL.returns().mostKeys(), gate.known());
+        assertEquals(DEFAULT_PARAMETERS.returns().mostKeys(), gate.destinationCount());
     }
 
-    /** A destination that is forgotten in a storm takes its storm with it. */
+    /** Guards against counting the storm of an evicted destination as active forever. */
     @Test
-    void noStormIsLeftOverFromADestinationThatIsForgotten() {
-        calls(0, 5, 1, 10, 200, 5);
+    void evictedDestinationLeavesNoActiveStorm() {
+        offerCalls(0, 5, 1, 10, 200, 5);
         assertTrue(gate.stormy());
-        for (int destination = 2; destination < 2 + USUAL.returns().mostKeys(); destination++) {
-            offer(5 * SECOND, destination, 0, false);
+        for (int destination = 2; destination < 2 + DEFAULT_PARAMETERS.returns().mostKeys(); destination++) {
+            offerCall(5 * SECOND_MICROS, destination, 0, false);
         }
         for (int second = 5; second < 60; second++) {
-            gate.look(second * SECOND);
+            gate.look(second * SECOND_MICROS);
         }
-        assertTrue(!gate.stormy(), told()::toString);
+        assertTrue(!gate.stormy(), eventLines()::toString);
     }
 }
