--- a/src/main/java/wingspread/storm/AdaptiveThrottle.java
+++ b/src/main/java/wingspread/storm/AdaptiveThrottle.java
@@ -14,11 +14,11 @@
     private final DecayingRate established;
     private double factorScale = 1;
 
-    AdaptiveThrottle(long now, StormFigures.Damping parameters, long window, RandomGenerator random) {
+    AdaptiveThrottle(long now, StormFigures.Damping parameters, long windowMicros, RandomGenerator random) {
         this.parameters = parameters;
         this.random = random;
-        this.offered = new DecayingRate(now, window);
-        this.established = new DecayingRate(now, window);
+        this.offered = new DecayingRate(now, windowMicros);
+        this.established = new DecayingRate(now, windowMicros);
     }
 
     @Override
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void onEstablished(long now, boolean redial) {
+    public void onCallEstablished(long now, boolean redial) {
         established.add(now, 1);
     }
 
--- a/src/main/java/wingspread/storm/Backoff.java
+++ b/src/main/java/wingspread/storm/Backoff.java
@@ -8,29 +8,29 @@
  * microseconds.
  */
 public final class Backoff {
-    private final long initialBound;
-    private final long maxBound;
+    private final long initialBoundMicros;
+    private final long maxBoundMicros;
     private final double jitter;
     private final RandomGenerator random;
     private long bound;
 
-    Backoff(long initialBound, long maxBound, double jitter, RandomGenerator random) {
-        this.initialBound = initialBound;
-        this.maxBound = maxBound;
+    Backoff(long initialBoundMicros, long maxBoundMicros, double jitter, RandomGenerator random) {
+        this.initialBoundMicros = initialBoundMicros;
+        this.maxBoundMicros = maxBoundMicros;
         this.jitter = jitter;
         this.random = random;
-        this.bound = initialBound;
+        this.bound = initialBoundMicros;
     }
 
     /** Returns the next wait, from 1 to the current bound, and doubles the bound. */
     public long next() {
         long wait = Math.max(1, Math.round(bound * (1 - jitter * random.nextDouble())));
-        bound = Math.min(maxBound, 2 * bound);
+        bound = Math.min(maxBoundMicros, 2 * bound);
         return wait;
     }
 
     /** Returns to the initial bound after a successful attempt. */
     public void reset() {
-        bound = initialBound;
+        bound = initialBoundMicros;
     }
 }
--- a/src/main/java/wingspread/storm/DecayingRate.java
+++ b/src/main/java/wingspread/storm/DecayingRate.java
@@ -7,7 +7,7 @@
 final class DecayingRate {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    private final double timeConstant;
+    private final double timeConstantMicros;
     private final long startedAt;
     private double weight;
     private long updatedAt;
@@ -15,10 +15,10 @@
     /**
      * Creates a rate without events.
      *
-     * @param timeConstant time constant of the decay, in microseconds
+     * @param timeConstantMicros time constant of the decay, in microseconds
      */
-    DecayingRate(long now, long timeConstant) {
-        this.timeConstant = timeConstant;
+    DecayingRate(long now, long timeConstantMicros) {
+        this.timeConstantMicros = timeConstantMicros;
         this.startedAt = now;
         this.updatedAt = now;
     }
@@ -35,13 +35,14 @@
      */
     double perSecond(long now) {
         decay(now);
-        double observedShare = 1 - Math.exp(-Math.max(updatedAt - startedAt, timeConstant / 2) / timeConstant);
-        return weight / timeConstant * MICROS_PER_SECOND / observedShare;
+        double observedShare =
+                1 - Math.exp(-Math.max(updatedAt - startedAt, timeConstantMicros / 2) / timeConstantMicros);
+        return weight / timeConstantMicros * MICROS_PER_SECOND / observedShare;
     }
 
     private void decay(long now) {
         if (now > updatedAt) {
-            weight *= Math.exp((updatedAt - now) / timeConstant);
+            weight *= Math.exp((updatedAt - now) / timeConstantMicros);
             updatedAt = now;
         }
     }
--- a/src/main/java/wingspread/storm/FairBudget.java
+++ b/src/main/java/wingspread/storm/FairBudget.java
@@ -14,7 +14,7 @@
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final StormFigures.Damping parameters;
-    private final long activityWindow;
+    private final long activityWindowMicros;
     private final double[] classValues;
     private final double[] classBalances;
     /** Time of the latest redial offered, by class. */
@@ -26,12 +26,12 @@
     /**
      * Creates a budget of one redial in the common balance.
      *
-     * @param activityWindow time in microseconds for which a class counts as active after it offered a redial
+     * @param activityWindowMicros time in microseconds for which a class counts as active after it offered a redial
      * @param classValues value of each call class, indexed by class number
      */
-    FairBudget(long now, StormFigures.Damping parameters, long activityWindow, double[] classValues) {
+    FairBudget(long now, StormFigures.Damping parameters, long activityWindowMicros, double[] classValues) {
         this.parameters = parameters;
-        this.activityWindow = activityWindow;
+        this.activityWindowMicros = activityWindowMicros;
         this.classValues = classValues.clone();
         this.classBalances = new double[classValues.length];
         this.lastOfferedAt = new double[classValues.length];
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void onEstablished(long now, boolean redial) {
+    public void onCallEstablished(long now, boolean redial) {
         refillForTime(now);
         // Established redials add nothing, or a storm would finance itself and exceed the configured proportion.
         if (!redial) {
@@ -96,7 +96,7 @@
     private void refill(long now, double amount) {
         double activeValue = 0;
         for (int i = 0; i < classValues.length; i++) {
-            if (lastOfferedAt[i] > now - activityWindow) {
+            if (lastOfferedAt[i] > now - activityWindowMicros) {
                 activeValue += classValues[i];
             } else {
                 // The balance of a class that is no longer active becomes available to all.
@@ -111,7 +111,7 @@
         }
         double surplus = 0;
         for (int i = 0; i < classValues.length; i++) {
-            if (lastOfferedAt[i] > now - activityWindow) {
+            if (lastOfferedAt[i] > now - activityWindowMicros) {
                 double limit = parameters.budgetMost() * classValues[i] / activeValue;
                 double classShare = added * classValues[i] / activeValue;
                 double accepted = Math.max(0, Math.min(classShare, limit - classBalances[i]));
--- a/src/main/java/wingspread/storm/LoopBudget.java
+++ b/src/main/java/wingspread/storm/LoopBudget.java
@@ -10,8 +10,8 @@
     private static final double COST_LEARNING_RATE = 0.05;
 
     private final double share;
-    private final double maxBalance;
-    private double averageCost;
+    private final double maxBalanceMicros;
+    private double averageCostMicros;
     private double balance;
     private long refilledAt;
 
@@ -19,18 +19,18 @@
      * Creates a full budget.
      *
      * @param share of the loop's time, above 0 and at most 1
-     * @param maxBalance microseconds of loop time that an unused budget accumulates at most, above 0
-     * @param initialCost microseconds that one connection is assumed to cost before any was measured, above 0
+     * @param maxBalanceMicros microseconds of loop time that an unused budget accumulates at most, above 0
+     * @param initialCostMicros microseconds that one connection is assumed to cost before any was measured, above 0
      */
-    public LoopBudget(long now, double share, long maxBalance, double initialCost) {
-        if (!(share > 0 && share <= 1) || maxBalance <= 0 || !(initialCost > 0)) {
+    public LoopBudget(long now, double share, long maxBalanceMicros, double initialCostMicros) {
+        if (!(share > 0 && share <= 1) || maxBalanceMicros <= 0 || !(initialCostMicros > 0)) {
             throw new IllegalArgumentException(
-                    "loop budget out of bounds: share " + share + ", maximum balance in us " + maxBalance);
+                    "loop budget out of bounds: share " + share + ", maximum balance in us " + maxBalanceMicros);
         }
         this.share = share;
-        this.maxBalance = maxBalance;
-        this.averageCost = initialCost;
-        this.balance = maxBalance;
+        this.maxBalanceMicros = maxBalanceMicros;
+        this.averageCostMicros = initialCostMicros;
+        this.balance = maxBalanceMicros;
         this.refilledAt = now;
     }
 
@@ -43,7 +43,7 @@
     /** Charges the loop time that one connection took, in microseconds. */
     public void spent(long now, double micros) {
         refill(now);
-        averageCost += COST_LEARNING_RATE * (Math.max(0, micros) - averageCost);
+        averageCostMicros += COST_LEARNING_RATE * (Math.max(0, micros) - averageCostMicros);
         balance -= Math.max(0, micros);
     }
 
@@ -53,17 +53,17 @@
      */
     public long opensAt(long now) {
         refill(now);
-        return balance > 0 ? now : now + (long) Math.ceil((averageCost / 2 - balance) / share);
+        return balance > 0 ? now : now + (long) Math.ceil((averageCostMicros / 2 - balance) / share);
     }
 
     /** Returns the learnt cost of one connection, in microseconds. */
-    public double averageCost() {
-        return averageCost;
+    public double averageCostMicros() {
+        return averageCostMicros;
     }
 
     private void refill(long now) {
         if (now > refilledAt) {
-            balance = Math.min(maxBalance, balance + share * (now - refilledAt));
+            balance = Math.min(maxBalanceMicros, balance + share * (now - refilledAt));
             refilledAt = now;
         }
     }
--- a/src/main/java/wingspread/storm/RateGap.java
+++ b/src/main/java/wingspread/storm/RateGap.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void onEstablished(long now, boolean redial) {
+    public void onCallEstablished(long now, boolean redial) {
         // The rate depends on the calls established before the storm only.
     }
 
--- a/src/main/java/wingspread/storm/RedialHistory.java
+++ b/src/main/java/wingspread/storm/RedialHistory.java
@@ -40,7 +40,7 @@
      *
      * @param number called number; 0 if not known
      */
-    Classification offered(long now, long number) {
+    Classification classify(long now, long number) {
         if (number == 0 || parameters.redialTime() == 0) {
             return Classification.NONE;
         }
@@ -53,12 +53,12 @@
         // On a number that many callers dial, each call would look like the redial of another caller.
         boolean singleCaller = history.pendingCalls == 0 && history.offeredCalls <= parameters.mostTries();
         boolean redial = singleCaller && history.failedAt >= 0 && now - history.failedAt <= parameters.redialTime();
-        boolean early = redial && now < history.retryAt - parameters.early();
+        boolean tooEarly = redial && now < history.retryAt - parameters.early();
         history.offeredCalls++;
         history.pendingCalls++;
         history.lastOfferedAt = Math.max(history.lastOfferedAt, now);
         history.failedAt = -1;
-        return early ? Classification.EARLY : redial ? Classification.REDIAL : Classification.NONE;
+        return tooEarly ? Classification.EARLY : redial ? Classification.REDIAL : Classification.NONE;
     }
 
     /** Returns the time at which the caller of a number was advised to redial; 0 if none was advised. */
@@ -68,7 +68,7 @@
     }
 
     /** Records that a call to the number was established. */
-    void callEstablished(long number) {
+    void onCallEstablished(long number) {
         NumberHistory history = numbers.get(number);
         if (history != null) {
             history.pendingCalls = Math.max(0, history.pendingCalls - 1);
@@ -81,7 +81,7 @@
      *
      * @param retryAt time at which the caller was advised to redial; 0 if none was advised
      */
-    void failed(long now, long number, long retryAt) {
+    void onCallFailed(long now, long number, long retryAt) {
         NumberHistory history = numbers.get(number);
         if (history != null) {
             history.pendingCalls = Math.max(0, history.pendingCalls - 1);
--- a/src/main/java/wingspread/storm/RedialLimiter.java
+++ b/src/main/java/wingspread/storm/RedialLimiter.java
@@ -13,7 +13,7 @@
     void onFreshCall(long now);
 
     /** Records that a passed call was established. */
-    void onEstablished(long now, boolean redial);
+    void onCallEstablished(long now, boolean redial);
 
     /**
      * Records the beginning of a storm.
--- a/src/main/java/wingspread/storm/RetrySchedule.java
+++ b/src/main/java/wingspread/storm/RetrySchedule.java
@@ -11,14 +11,14 @@
 public final class RetrySchedule {
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    private final long maxWait;
+    private final long maxWaitMicros;
     private final RandomGenerator random;
     /** Start of the first slot that is not assigned. */
     private double nextFreeSlot;
 
     /** Creates an empty schedule. */
-    public RetrySchedule(long now, long maxWait, RandomGenerator random) {
-        this.maxWait = maxWait;
+    public RetrySchedule(long now, long maxWaitMicros, RandomGenerator random) {
+        this.maxWaitMicros = maxWaitMicros;
         this.random = random;
         this.nextFreeSlot = now;
     }
@@ -32,10 +32,10 @@
         double slot = MICROS_PER_SECOND / freePerSecond;
         nextFreeSlot = Math.max(nextFreeSlot, now) + slot;
         double wait = nextFreeSlot - now - slot * random.nextDouble();
-        if (wait > maxWait) {
+        if (wait > maxWaitMicros) {
             // The queue is full and does not grow; a caller beyond its end gets a random time within it.
-            nextFreeSlot = now + (double) maxWait;
-            wait = maxWait * random.nextDouble();
+            nextFreeSlot = now + (double) maxWaitMicros;
+            wait = maxWaitMicros * random.nextDouble();
         }
         return Math.max(1, Math.round(wait));
     }
--- a/src/main/java/wingspread/storm/StormDetector.java
+++ b/src/main/java/wingspread/storm/StormDetector.java
@@ -43,7 +43,7 @@
      *
      * @param redial whether the call is a redial or the new attempt of a caller whose call was cut off
      */
-    public Change offered(long now, boolean redial) {
+    public Change recordCall(long now, boolean redial) {
         (redial ? redials : freshCalls).add(now, 1);
         learnBaseline(now);
         if (!active && redial) {
--- a/src/main/java/wingspread/storm/StormFigures.java
+++ b/src/main/java/wingspread/storm/StormFigures.java
@@ -30,7 +30,7 @@
      * When a storm begins and ends.
      *
      * @param window time constant of the current rates, above 0
-     * @param usualWindow time constant of the baseline rates; longer than {@code window}
+     * @param usualWindow time constant of the baseline rates; longer than that of the current rates
      * @param onsetRatio redials per fresh call above which a storm begins
      * @param endRatio redials per fresh call below which a storm may end; lower than {@code onsetRatio}, so that the
      *     state does not oscillate
@@ -115,15 +115,15 @@
      * Returns a copy whose waits do not exceed the wait that callers honour; callers that were advised longer ones
      * would all return together at its end.
      */
-    public StormFigures within(long maxHonouredWait) {
+    public StormFigures within(long maxHonouredWaitMicros) {
         return new StormFigures(detection, damping,
-                new Returns(Math.max(1, Math.min(returns.longestWait, maxHonouredWait)),
+                new Returns(Math.max(1, Math.min(returns.longestWait, maxHonouredWaitMicros)),
                 returns.spreadRefusals, returns.redialTime, returns.mostTries, returns.early, returns.mostNumbers,
                 returns.mostKeys));
     }
 
     /** Returns a copy with another damping method. */
-    public StormFigures by(Method method) {
+    public StormFigures withMethod(Method method) {
         return new StormFigures(detection, new Damping(method, damping.budgetShare, damping.budgetFloor,
                 damping.budgetMost, damping.ramp, damping.rampShare, damping.throttleFactor,
                 damping.leastFailing), returns);
--- a/src/main/java/wingspread/storm/StormGate.java
+++ b/src/main/java/wingspread/storm/StormGate.java
@@ -154,17 +154,17 @@
 
     /** Decides whether a subscriber's call is passed on. */
     public Verdict offered(long now, Try callOffer) {
-        RedialHistory.Classification classification = history.offered(now, callOffer.calledNumber());
+        RedialHistory.Classification classification = history.classify(now, callOffer.calledNumber());
         boolean redial = callOffer.again() || classification != RedialHistory.Classification.NONE;
         Destination destination = destination(now, callOffer.destination());
         notifyListener(now, StormNews.Scope.DESTINATION, callOffer.destination(), destination.detector,
-                destination.detector.offered(now, redial));
+                destination.detector.recordCall(now, redial));
         int region = regionByDestination.getOrDefault(callOffer.destination(), NO_REGION);
         StormDetector regionDetector = regionDetectors.get(region);
         if (regionDetector != null) {
-            notifyListener(now, StormNews.Scope.REGION, region, regionDetector, regionDetector.offered(now, redial));
+            notifyListener(now, StormNews.Scope.REGION, region, regionDetector, regionDetector.recordCall(now, redial));
         }
-        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.offered(now, redial));
+        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.recordCall(now, redial));
         boolean limiting = destination.updateLimiting(now, stormAffects(destination, regionDetector));
         Pass pass = new Pass(new Try(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(), redial,
                 callOffer.width()));
@@ -181,7 +181,7 @@
         if (classification == RedialHistory.Classification.EARLY) {
             // The caller keeps the retry time that it was advised, so an early redial neither gains nor costs it time.
             long retryAt = history.retryAt(callOffer.calledNumber());
-            history.failed(now, callOffer.calledNumber(), retryAt);
+            history.onCallFailed(now, callOffer.calledNumber(), retryAt);
             // After a backward step of the clock the remaining time could exceed the maximum wait.
             return new TurnedAway(Math.min(retryAt - now, parameters.returns().longestWait()), Reason.EARLY);
         }
@@ -190,7 +190,7 @@
             return pass;
         }
         long wait = destination.nextWait(now);
-        history.failed(now, callOffer.calledNumber(), now + wait);
+        history.onCallFailed(now, callOffer.calledNumber(), now + wait);
         return new TurnedAway(wait, Reason.NO_BUDGET);
     }
 
@@ -207,9 +207,9 @@
         }
         destination.established.add(now, 1);
         if (destination.limiter != null) {
-            destination.limiter.onEstablished(now, seen.again());
+            destination.limiter.onCallEstablished(now, seen.again());
         }
-        history.callEstablished(seen.calledNumber());
+        history.onCallEstablished(seen.calledNumber());
     }
 
     /**
@@ -225,14 +225,14 @@
         if (parameters.returns().spreadRefusals() && destination.stormActive) {
             wait = Math.max(advised, destination.nextWait(now));
         }
-        history.failed(now, seen.calledNumber(), wait > 0 ? now + wait : 0);
+        history.onCallFailed(now, seen.calledNumber(), wait > 0 ? now + wait : 0);
         return wait;
     }
 
     /** Records that a passed call failed or was abandoned, and that its caller was advised no wait. */
     public void failed(long now, Try seen) {
         destination(now, seen.destination()).failed.add(now, 1);
-        history.failed(now, seen.calledNumber(), 0);
+        history.onCallFailed(now, seen.calledNumber(), 0);
     }
 
     /** Records that a destination has recovered: its redials are admitted along a ramp. */
--- a/src/test/java/wingspread/storm/RedialLimiterTest.java
+++ b/src/test/java/wingspread/storm/RedialLimiterTest.java
@@ -30,7 +30,7 @@
         for (long at = 0; at < 20 * SECOND_MICROS; at += 10_000) {
             if (random.nextDouble() < 0.3) {
                 established++;
-                budget.onEstablished(at, false);
+                budget.onCallEstablished(at, false);
             }
             for (int i = 0; i < random.nextInt(maxOffered); i++) {
                 admitted += budget.tryAcquire(at, random.nextInt(3), 1) ? 1 : 0;
@@ -59,7 +59,7 @@
         int[] admitted = new int[2];
         SplittableRandom random = new SplittableRandom(seed);
         for (long at = 0; at < 60 * SECOND_MICROS; at += 10_000) {
-            budget.onEstablished(at, false);
+            budget.onCallEstablished(at, false);
             for (int i = 0; i < 20; i++) {
                 admitted[0] += budget.tryAcquire(at, 0, 1) ? 1 : 0;
             }
@@ -76,7 +76,7 @@
         int offeredByClass1 = 0;
         SplittableRandom random = new SplittableRandom(seed);
         for (long at = 0; at < 60 * SECOND_MICROS; at += 10_000) {
-            budget.onEstablished(at, false);
+            budget.onCallEstablished(at, false);
             admitted[0] += budget.tryAcquire(at, 0, 1) ? 1 : 0;
             if (random.nextDouble() < 0.02) {
                 offeredByClass1++;
@@ -92,7 +92,7 @@
     void establishedRedialsAddNothingToBudget() {
         FairBudget budget = budget(1);
         for (int i = 0; i < 100; i++) {
-            budget.onEstablished(0, true);
+            budget.onCallEstablished(0, true);
         }
         assertEquals(1, budget.totalBalance(), 1e-9);
     }
@@ -101,7 +101,7 @@
     void wideCallIsChargedItsWidth() {
         FairBudget budget = budget(1);
         for (int i = 0; i < 100; i++) {
-            budget.onEstablished(0, false);
+            budget.onCallEstablished(0, false);
         }
         assertTrue(budget.tryAcquire(0, 0, 6));
         assertEquals(DAMPING.budgetMost() - 6, budget.totalBalance(), 1e-9);
@@ -116,7 +116,7 @@
         for (long at = 0; at < 60 * SECOND_MICROS; at += 10_000) {
             if (at % 50_000 == 0) {
                 throttle.onFreshCall(at);
-                throttle.onEstablished(at, false);
+                throttle.onCallEstablished(at, false);
             }
             admitted += throttle.tryAcquire(at, 0, 1) ? 1 : 0;
         }
@@ -131,7 +131,7 @@
         gap.onStormBegan(0, 50);
         int admitted = 0;
         for (long at = 0; at < 60 * SECOND_MICROS; at += 10_000) {
-            gap.onEstablished(at, false);
+            gap.onCallEstablished(at, false);
             admitted += gap.tryAcquire(at, 0, 1) ? 1 : 0;
         }
         assertEquals(60 * (DAMPING.budgetFloor() + DAMPING.budgetShare() * 50), admitted, 4);
@@ -153,19 +153,19 @@
     void historyClassifiesCallToFailedNumberAsRedialForLimitedTime() {
         RedialHistory history = new RedialHistory(StormFigures.USUAL.returns());
         long redialWindow = StormFigures.USUAL.returns().redialTime();
-        assertEquals(Classification.NONE, history.offered(0, 5));
-        history.failed(0, 5, 0);
-        assertEquals(Classification.NONE, history.offered(0, 6), "call to another number");
-        assertEquals(Classification.REDIAL, history.offered(redialWindow, 5));
-        history.failed(redialWindow, 5, 3 * redialWindow);
-        assertEquals(Classification.EARLY, history.offered(redialWindow + 1, 5));
-        history.failed(redialWindow + 1, 5, 0);
-        assertEquals(Classification.NONE, history.offered(2 * redialWindow + 2, 5), "after the redial window");
-        assertEquals(Classification.NONE, history.offered(2 * redialWindow + 3, 5), "previous call is still pending");
-        history.callEstablished(5);
-        history.callEstablished(5);
-        assertEquals(Classification.NONE, history.offered(2 * redialWindow + 4, 5), "after an established call");
-        assertEquals(Classification.NONE, history.offered(0, 0), "no number");
+        assertEquals(Classification.NONE, history.classify(0, 5));
+        history.onCallFailed(0, 5, 0);
+        assertEquals(Classification.NONE, history.classify(0, 6), "call to another number");
+        assertEquals(Classification.REDIAL, history.classify(redialWindow, 5));
+        history.onCallFailed(redialWindow, 5, 3 * redialWindow);
+        assertEquals(Classification.EARLY, history.classify(redialWindow + 1, 5));
+        history.onCallFailed(redialWindow + 1, 5, 0);
+        assertEquals(Classification.NONE, history.classify(2 * redialWindow + 2, 5), "after the redial window");
+        assertEquals(Classification.NONE, history.classify(2 * redialWindow + 3, 5), "previous call is still pending");
+        history.onCallEstablished(5);
+        history.onCallEstablished(5);
+        assertEquals(Classification.NONE, history.classify(2 * redialWindow + 4, 5), "after an established call");
+        assertEquals(Classification.NONE, history.classify(0, 0), "no number");
     }
 
     @Test
@@ -173,12 +173,12 @@
         RedialHistory history = new RedialHistory(
                 new StormFigures.Returns(SECOND_MICROS, true, SECOND_MICROS, 4, 0, 3, 1));
         for (long number = 1; number <= 4; number++) {
-            history.offered(0, number);
-            history.failed(0, number, 0);
+            history.classify(0, number);
+            history.onCallFailed(0, number, 0);
         }
         assertEquals(3, history.size());
-        assertEquals(Classification.NONE, history.offered(1, 1));
-        assertEquals(Classification.REDIAL, history.offered(1, 4));
+        assertEquals(Classification.NONE, history.classify(1, 1));
+        assertEquals(Classification.REDIAL, history.classify(1, 4));
     }
 
     @Property(tries = 100, seed = "89")
@@ -215,8 +215,8 @@
         int changes = 0;
         for (long at = 0; at < 90 * SECOND_MICROS; at += 1_000) {
             // 20 connections per second, and after one minute 1000 per second for half a second.
-            boolean surge = at >= 60 * SECOND_MICROS && at < 60.5 * SECOND_MICROS;
-            changes += (surge || at % 50_000 == 0 ? detector.arrived(at) : detector.look(at)) ? 1 : 0;
+            boolean inSurge = at >= 60 * SECOND_MICROS && at < 60.5 * SECOND_MICROS;
+            changes += (inSurge || at % 50_000 == 0 ? detector.arrived(at) : detector.look(at)) ? 1 : 0;
             if (at == 60_400_000) {
                 assertTrue(detector.surge() && detector.perSecond(at) > 300,
                         "connections per second at 60.4 s: " + detector.perSecond(at));
@@ -248,6 +248,6 @@
         }
         assertTrue(totalCost <= 0.25 * at + 20_000 + maxCost, totalCost + " of " + at);
         assertTrue(totalCost >= 0.2 * at, totalCost + " of " + at);
-        assertEquals(1_600, budget.averageCost(), 700);
+        assertEquals(1_600, budget.averageCostMicros(), 700);
     }
 }
--- a/src/test/java/wingspread/storm/StormGateTest.java
+++ b/src/test/java/wingspread/storm/StormGateTest.java
@@ -177,8 +177,8 @@
         long number = nextNumber - 1;
         long retryAt = at + ((TurnedAway) verdict).advised();
         assertTrue(retryAt > at + 2 * DEFAULT_PARAMETERS.returns().early(), "retry time " + retryAt);
-        TurnedAway early = (TurnedAway) offerCall(at + 50_000, 1, number, true);
-        assertEquals(new TurnedAway(retryAt - at - 50_000, StormGate.Reason.EARLY), early);
+        TurnedAway earlyVerdict = (TurnedAway) offerCall(at + 50_000, 1, number, true);
+        assertEquals(new TurnedAway(retryAt - at - 50_000, StormGate.Reason.EARLY), earlyVerdict);
     }
 
     @Test
@@ -291,7 +291,7 @@
 
     @Test
     void spreadMethodRejectsNoCalls() {
-        gate = gate(DEFAULT_PARAMETERS.by(StormFigures.Method.SPREAD));
+        gate = gate(DEFAULT_PARAMETERS.withMethod(StormFigures.Method.SPREAD));
         offerCalls(0, 5, 1, 10, 200, 6);
         assertEquals(0, rejectedCount());
         assertTrue(gate.refused(5 * SECOND_MICROS, new Try(1, 0, 0, false, 1), 0) > 0);
--- a/src/test/java/wingspread/storm/StormTest.java
+++ b/src/test/java/wingspread/storm/StormTest.java
@@ -28,10 +28,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (long at = fromSecond * SECOND_MICROS; at < toSecond * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < freshPerSecond / 1_000) {
-                recordChange(at, detector.offered(at, false));
+                recordChange(at, detector.recordCall(at, false));
             }
             if (random.nextDouble() < redialsPerSecond / 1_000) {
-                recordChange(at, detector.offered(at, true));
+                recordChange(at, detector.recordCall(at, true));
             }
             recordChange(at, detector.look(at));
         }
