--- a/src/main/java/wingspread/storm/Ramp.java
+++ b/src/main/java/wingspread/storm/Ramp.java
@@ -25,7 +25,8 @@
 
     /** Returns the redials admitted per established fresh call at this point of the ramp. */
     double share(long now) {
-        double elapsedShare = Math.min(1, Math.max(0, 1 - (endsAt - now) / (double) Math.max(1, parameters.ramp())));
+        double elapsedShare =
+                Math.min(1, Math.max(0, 1 - (endsAt - now) / (double) Math.max(1, parameters.ramp())));
         return parameters.budgetShare() + elapsedShare * (parameters.rampShare() - parameters.budgetShare());
     }
 }
--- a/src/main/java/wingspread/storm/ReconnectFigures.java
+++ b/src/main/java/wingspread/storm/ReconnectFigures.java
@@ -14,12 +14,13 @@
  * @param longestBackoff maximum of that bound, which doubles with each wait, in microseconds
  * @param jitter maximum share of the bound by which a wait is shortened at random: 1 for full jitter, 0 for none
  */
-public record ReconnectFigures(double share, long burst, double surgeFactor, double leastSurge, long firstBackoff,
-        long longestBackoff, double jitter) {
+public record ReconnectFigures(double share, long burst, double surgeFactor, double leastSurge,
+        long firstBackoff, long longestBackoff, double jitter) {
     /** Default backoff of a link, without pacing and without jitter. */
     public static final ReconnectFigures OFF = new ReconnectFigures(1, 1_000_000, 5, 50, 100_000, 800_000, 0);
     /** Defaults for settings that are not given while pacing is enabled. */
-    public static final ReconnectFigures USUAL = new ReconnectFigures(0.25, 20_000, 5, 50, 200_000, 1_600_000, 1);
+    public static final ReconnectFigures USUAL =
+            new ReconnectFigures(0.25, 20_000, 5, 50, 200_000, 1_600_000, 1);
     /** Assumed cost of a connection before any was measured. */
     private static final double INITIAL_COST_MICROS = 200;
     private static final long SURGE_WINDOW_MICROS = 500_000;
@@ -27,8 +28,8 @@
 
     /** Checks the rules that the settings schema cannot express. */
     public ReconnectFigures {
-        if (!(share > 0 && share <= 1) || burst < 1 || !(jitter >= 0 && jitter <= 1) || !(surgeFactor >= 1)
-                || !(leastSurge >= 0)) {
+        if (!(share > 0 && share <= 1) || burst < 1 || !(jitter >= 0 && jitter <= 1)
+                || !(surgeFactor >= 1) || !(leastSurge >= 0)) {
             throw new IllegalArgumentException(
                     "share, burst, surge-factor, least-surge or jitter of reconnects is out of its bounds");
         }
@@ -54,6 +55,7 @@
 
     /** Creates the detector for surges of new connections of one listener. */
     public SurgeDetector surges(long now) {
-        return new SurgeDetector(now, SURGE_WINDOW_MICROS, SURGE_BASELINE_WINDOW_MICROS, surgeFactor, leastSurge);
+        return new SurgeDetector(now, SURGE_WINDOW_MICROS, SURGE_BASELINE_WINDOW_MICROS, surgeFactor,
+                leastSurge);
     }
 }
--- a/src/main/java/wingspread/storm/RedialHistory.java
+++ b/src/main/java/wingspread/storm/RedialHistory.java
@@ -45,14 +45,16 @@
             return Classification.NONE;
         }
         NumberHistory history = numbers.get(number);
-        if (history == null || now - history.lastOfferedAt > parameters.redialTime() && history.pendingCalls == 0) {
+        if (history == null
+                || now - history.lastOfferedAt > parameters.redialTime() && history.pendingCalls == 0) {
             evictIfFull();
             history = new NumberHistory();
             numbers.put(number, history);
         }
         // On a number that many callers dial, each call would look like the redial of another caller.
         boolean singleCaller = history.pendingCalls == 0 && history.offeredCalls <= parameters.mostTries();
-        boolean redial = singleCaller && history.failedAt >= 0 && now - history.failedAt <= parameters.redialTime();
+        boolean redial = singleCaller && history.failedAt >= 0
+                && now - history.failedAt <= parameters.redialTime();
         boolean tooEarly = redial && now < history.retryAt - parameters.early();
         history.offeredCalls++;
         history.pendingCalls++;
--- a/src/main/java/wingspread/storm/StormDetector.java
+++ b/src/main/java/wingspread/storm/StormDetector.java
@@ -92,7 +92,8 @@
         }
         // Hysteresis: half the onset factor over the baseline, but never below the baseline itself.
         double endRatio = Math.max(parameters.endRatio(), Math.max(1, parameters.overUsual() / 2) * baseline);
-        if (redialRate > endRatio * freshRate && redialRate > parameters.leastRedials() * parameters.endRatio()) {
+        if (redialRate > endRatio * freshRate
+                && redialRate > parameters.leastRedials() * parameters.endRatio()) {
             calmSince = -1;
             return Change.NONE;
         }
--- a/src/main/java/wingspread/storm/StormFigures.java
+++ b/src/main/java/wingspread/storm/StormFigures.java
@@ -34,14 +34,15 @@
      * @param onsetRatio redials per fresh call above which a storm begins
      * @param endRatio redials per fresh call below which a storm may end; lower than {@code onsetRatio}, so that the
      *     state does not oscillate
-     * @param overUsual multiple of the baseline ratio that the ratio has to exceed too for a storm to begin, at least
-     *     1; half of it applies to an active storm
-     * @param mostUsual maximum of the baseline ratio, so that a storm is detected even if the process starts during it
+     * @param overUsual multiple of the baseline ratio that the ratio has to exceed too for a storm to begin, at
+     *     least 1; half of it applies to an active storm
+     * @param mostUsual maximum of the baseline ratio, so that a storm is detected even if the process starts
+     *     during it
      * @param leastRedials redials per second below which no storm begins
      * @param endAfter how long the ratio has to stay low before a storm ends
      */
-    public record Detection(long window, long usualWindow, double onsetRatio, double endRatio, double overUsual,
-            double mostUsual, double leastRedials, long endAfter) {
+    public record Detection(long window, long usualWindow, double onsetRatio, double endRatio,
+            double overUsual, double mostUsual, double leastRedials, long endAfter) {
         /** Checks the rules that the settings schema cannot express. */
         public Detection {
             if (!(endRatio < onsetRatio)) {
@@ -50,7 +51,8 @@
             if (!(usualWindow > window)) {
                 throw new IllegalArgumentException("usual-window is not longer than window");
             }
-            if (window <= 0 || endAfter < 0 || !(leastRedials >= 0) || !(overUsual >= 1) || !(mostUsual >= 0)) {
+            if (window <= 0 || endAfter < 0 || !(leastRedials >= 0) || !(overUsual >= 1)
+                    || !(mostUsual >= 0)) {
                 throw new IllegalArgumentException(
                         "window, end-after, least-redials, over-usual or most-usual of detection is below its minimum");
             }
@@ -64,8 +66,8 @@
      * @param budgetFloor redials per second admitted in any case, above 0, so that a destination whose fresh calls all
      *     fail is still probed
      * @param budgetMost redials that an unused budget accumulates, at least 1
-     * @param ramp how long redials are limited by a growing budget after a storm, or after the recovery of an exchange
-     *     or of its circuits; 0 for no ramp
+     * @param ramp how long redials are limited by a growing budget after a storm, or after the recovery of an
+     *     exchange or of its circuits; 0 for no ramp
      * @param rampShare value that {@code budgetShare} reaches at the end of the ramp; at least {@code budgetShare}
      * @param throttleFactor multiple of the established calls that {@code THROTTLE} admits, at least 1
      * @param leastFailing share of the passed calls, from 0 to 1, that has to fail before redials are limited; below
@@ -92,19 +94,20 @@
      * @param longestWait maximum wait that is advised, at least 1
      * @param spreadRefusals whether callers that the decision module refuses during a storm are assigned a retry time
      *     too
-     * @param redialTime how long after a failure a call to the same number counts as a redial although it is not
-     *     marked; 0 to rely on marks alone
-     * @param mostTries calls to a number within that time above which many callers are assumed to dial it, so that its
-     *     calls are not classified, at least 1
+     * @param redialTime how long after a failure a call to the same number counts as a redial although it is
+     *     not marked; 0 to rely on marks alone
+     * @param mostTries calls to a number within that time above which many callers are assumed to dial it, so
+     *     that its calls are not classified, at least 1
      * @param early tolerance for redials before the advised time, which do not count as early
      * @param mostNumbers maximum of called numbers remembered; beyond it the least recently used one is evicted
      * @param mostKeys maximum of destinations tracked; beyond it the least recently used one is evicted
      */
-    public record Returns(long longestWait, boolean spreadRefusals, long redialTime, int mostTries, long early,
-            int mostNumbers, int mostKeys) {
+    public record Returns(long longestWait, boolean spreadRefusals, long redialTime,
+            int mostTries, long early, int mostNumbers, int mostKeys) {
         /** Checks the rules that the settings schema cannot express. */
         public Returns {
-            if (longestWait < 1 || redialTime < 0 || mostTries < 1 || early < 0 || mostNumbers < 1 || mostKeys < 1) {
+            if (longestWait < 1 || redialTime < 0 || mostTries < 1 || early < 0
+                    || mostNumbers < 1 || mostKeys < 1) {
                 throw new IllegalArgumentException("longest-wait, redial-time, most-tries, early, most-numbers or "
                         + "most-keys of returns is below its minimum");
             }
@@ -118,8 +121,8 @@
     public StormFigures within(long maxHonouredWaitMicros) {
         return new StormFigures(detection, damping,
                 new Returns(Math.max(1, Math.min(returns.longestWait, maxHonouredWaitMicros)),
-                returns.spreadRefusals, returns.redialTime, returns.mostTries, returns.early, returns.mostNumbers,
-                returns.mostKeys));
+                        returns.spreadRefusals, returns.redialTime, returns.mostTries,
+                        returns.early, returns.mostNumbers, returns.mostKeys));
     }
 
     /** Returns a copy with another damping method. */
--- a/src/main/java/wingspread/storm/StormGate.java
+++ b/src/main/java/wingspread/storm/StormGate.java
@@ -20,7 +20,8 @@
     /**
      * The call is passed on to the decision module.
      *
-     * @param seen the offer with its final classification as fresh call or redial; later notifications take this one
+     * @param seen the offer with its final classification as fresh call or redial, which later
+     *     notifications take
      */
     public record Pass(Try seen) implements Verdict { }
 
@@ -162,12 +163,13 @@
         int region = regionByDestination.getOrDefault(callOffer.destination(), NO_REGION);
         StormDetector regionDetector = regionDetectors.get(region);
         if (regionDetector != null) {
-            notifyListener(now, StormNews.Scope.REGION, region, regionDetector, regionDetector.recordCall(now, redial));
+            notifyListener(now, StormNews.Scope.REGION, region, regionDetector,
+                    regionDetector.recordCall(now, redial));
         }
         notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.recordCall(now, redial));
         boolean limiting = destination.updateLimiting(now, stormAffects(destination, regionDetector));
-        Pass pass = new Pass(new Try(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(), redial,
-                callOffer.width()));
+        Pass pass = new Pass(new Try(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(),
+                redial, callOffer.width()));
         if (destination.limiter == null) {
             return pass;
         }
--- a/src/test/java/wingspread/storm/StormGateTest.java
+++ b/src/test/java/wingspread/storm/StormGateTest.java
@@ -85,7 +85,8 @@
         // rest allows for redials that pass before the storm is detected.
         assertTrue(admitted < 205 + 10 + 100, admitted + " of " + test.redialVerdicts.size() + " redials admitted");
         assertTrue(test.redialVerdicts.stream().allMatch(v -> !(v instanceof TurnedAway rejection)
-                || rejection.advised() >= 1 && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()));
+                || rejection.advised() >= 1
+                && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()));
         assertEquals(2, test.events.size(), test.events::toString);
     }
 
@@ -124,8 +125,9 @@
 
     @Test
     void regionalStormLimitsDestinationsBelowTheirOwnThreshold() {
-        StormFigures highThreshold = new StormFigures(new StormFigures.Detection(2 * SECOND_MICROS, 60 * SECOND_MICROS,
-                0.5, 0.2, 3, 0.5, 30, SECOND_MICROS), DEFAULT_PARAMETERS.damping(), DEFAULT_PARAMETERS.returns());
+        StormFigures highThreshold = new StormFigures(new StormFigures.Detection(2 * SECOND_MICROS,
+                60 * SECOND_MICROS, 0.5, 0.2, 3, 0.5, 30, SECOND_MICROS),
+                DEFAULT_PARAMETERS.damping(), DEFAULT_PARAMETERS.returns());
         gate = gate(highThreshold);
         for (int destination = 0; destination < 10; destination++) {
             gate.listed(0, destination, destination < 5 ? 7 : 8);
@@ -145,8 +147,8 @@
     @Test
     void recoveredCircuitsAreLoadedAlongRamp() {
         StormFigures.Damping defaults = DEFAULT_PARAMETERS.damping();
-        gate = gate(new StormFigures(DEFAULT_PARAMETERS.detection(), new StormFigures.Damping(defaults.method(), 0.05,
-                0.5, 2, 3 * SECOND_MICROS, 1.5, 2, 0.1), DEFAULT_PARAMETERS.returns()));
+        gate = gate(new StormFigures(DEFAULT_PARAMETERS.detection(), new StormFigures.Damping(defaults.method(),
+                0.05, 0.5, 2, 3 * SECOND_MICROS, 1.5, 2, 0.1), DEFAULT_PARAMETERS.returns()));
         gate.circuits(0, 1, 20);
         gate.circuits(SECOND_MICROS, 1, 10);
         gate.circuits(2 * SECOND_MICROS, 1, 20);
@@ -206,7 +208,8 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (long at = 0; at < 20 * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < 0.02) {
-                test.gate.gotThrough(at, ((Pass) test.offerCall(at, 1, test.nextNumber++, false)).seen());
+                test.gate.gotThrough(at,
+                        ((Pass) test.offerCall(at, 1, test.nextNumber++, false)).seen());
             }
             if (random.nextDouble() < 0.1 && at > 5 * SECOND_MICROS) {
                 Verdict verdict = test.offerCall(at, 1, 1 + random.nextInt(3), false);
--- a/src/test/java/wingspread/storm/StormTest.java
+++ b/src/test/java/wingspread/storm/StormTest.java
@@ -151,7 +151,8 @@
         assertThrows(IllegalArgumentException.class,
                 () -> new StormFigures.Detection(SECOND_MICROS, SECOND_MICROS, 0.5, 0.2, 3, 0.5, 2, SECOND_MICROS));
         assertThrows(IllegalArgumentException.class,
-                () -> new StormFigures.Damping(StormFigures.Method.BUDGET, 0.2, 0.5, 10, SECOND_MICROS, 0.1, 2, 0));
+                () -> new StormFigures.Damping(StormFigures.Method.BUDGET, 0.2, 0.5, 10, SECOND_MICROS, 0.1, 2,
+                        0));
         assertThrows(IllegalArgumentException.class,
                 () -> new StormFigures.Returns(SECOND_MICROS, true, SECOND_MICROS, 0, 0, 1, 1));
         assertFalse(new StormDetector(0, DETECTION).isActive());
