--- a/src/main/java/wingspread/storm/StormDetector.java
+++ b/src/main/java/wingspread/storm/StormDetector.java
@@ -19,6 +19,7 @@
     private final DecayingRate redials;
     private final DecayingRate baselineFreshCalls;
     private final DecayingRate baselineRedials;
+    /** Start of the current window, in which calls are counted before they become part of the baseline. */
     private long intervalStart;
     private long currentFreshCalls;
     private long currentRedials;
--- a/src/main/java/wingspread/storm/StormFigures.java
+++ b/src/main/java/wingspread/storm/StormFigures.java
@@ -70,8 +70,8 @@
      *     exchange or of its circuits; 0 for no ramp
      * @param rampShare value that {@code budgetShare} reaches at the end of the ramp; at least {@code budgetShare}
      * @param throttleFactor multiple of the established calls that {@code THROTTLE} admits, at least 1
-     * @param leastFailing share of the passed calls, from 0 to 1, that has to fail before redials are limited; below
-     *     it there is capacity. With 0 a single failure is enough
+     * @param leastFailing share of failures among the passed calls, from 0 to 1, above which redials are limited; up
+     *     to it there is capacity. With 0 any failure is enough
      */
     public record Damping(Method method, double budgetShare, double budgetFloor, double budgetMost, long ramp,
             double rampShare, double throttleFactor, double leastFailing) {
--- a/src/main/java/wingspread/storm/StormGate.java
+++ b/src/main/java/wingspread/storm/StormGate.java
@@ -88,7 +88,7 @@
         }
 
         /**
-         * Whether the share of passed calls that fail reaches the minimum for limiting redials. Without this check
+         * Whether the share of passed calls that fail exceeds the minimum for limiting redials. Without this check
          * callers would be rejected although there is capacity, for example when all of them redial at once after a
          * restart of this process.
          */
@@ -181,7 +181,8 @@
             return pass;
         }
         if (classification == RedialHistory.Classification.EARLY) {
-            // The caller keeps the retry time that it was advised, so an early redial neither gains nor costs it time.
+            // The caller keeps the retry time that it was advised: an early redial gains nothing, and takes neither
+            // budget nor a slot of the schedule.
             long retryAt = history.retryAt(callOffer.calledNumber());
             history.onCallFailed(now, callOffer.calledNumber(), retryAt);
             // After a backward step of the clock the remaining time could exceed the maximum wait.
--- a/src/main/java/wingspread/storm/SurgeDetector.java
+++ b/src/main/java/wingspread/storm/SurgeDetector.java
@@ -13,6 +13,7 @@
     private final long windowMicros;
     private final double onsetFactor;
     private final double minPerSecond;
+    /** Start of the current window, in which connections are counted before they become part of the baseline. */
     private long intervalStart;
     private long currentCount;
     private long previousCount;
