--- a/src/main/java/wingspread/wirehost/FrameReader.java
+++ b/src/main/java/wingspread/wirehost/FrameReader.java
@@ -4,8 +4,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the fields of one batch, in order; a frame too short for a field is named with the field and its
- * offset.
+ * Reads the fields of one frame of the simulator's protocol in order, in network byte order.
+ *
+ * <p>Every read method takes the name of the field. If the frame ends before the field does, the method throws a
+ * {@link WireException} that names the field and its offset.
  */
 final class FrameReader {
     private final ByteBuffer frame;
@@ -18,67 +20,74 @@
         return !frame.hasRemaining();
     }
 
+    /** Returns the offset of the next field, in bytes after the frame's length prefix. */
     int offset() {
         return frame.position();
     }
 
     int u8(String field) {
-        need(1, field);
+        requireBytes(1, field);
         return frame.get() & 0xff;
     }
 
     int u16(String field) {
-        need(2, field);
+        requireBytes(2, field);
         return frame.getShort() & 0xffff;
     }
 
     long u32(String field) {
-        need(4, field);
+        requireBytes(4, field);
         return frame.getInt() & 0xffffffffL;
     }
 
     long u64(String field) {
-        need(8, field);
+        requireBytes(8, field);
         return frame.getLong();
     }
 
     float f32(String field) {
-        need(4, field);
+        requireBytes(4, field);
         return frame.getFloat();
     }
 
-    /** An exchange: four bytes of address and a port, kept in the low 48 bits. */
+    /** Reads the address of an exchange (four bytes of IPv4 address, two of port) into the low 48 bits. */
     long exchange(String field) {
-        need(6, field);
+        requireBytes(6, field);
         return (frame.getInt() & 0xffffffffL) << 16 | frame.getShort() & 0xffffL;
     }
 
-    /** A count, checked against what the frame can still hold at {@code size} bytes each. */
-    int count(long n, int size, String field) {
-        if (n * size > frame.remaining()) {
-            throw cutOff(field);
+    /**
+     * Checks the number of elements of a list against the rest of the frame, so that no array is allocated for more.
+     *
+     * @param count number of elements, as read from the frame
+     * @param elementBytes size of an element
+     * @return the same number
+     */
+    int count(long count, int elementBytes, String field) {
+        if (count * elementBytes > frame.remaining()) {
+            throw truncated(field);
         }
-        return (int) n;
+        return (int) count;
     }
 
-    byte[] bytes(int n, String field) {
-        need(n, field);
-        byte[] out = new byte[n];
+    byte[] bytes(int length, String field) {
+        requireBytes(length, field);
+        byte[] out = new byte[length];
         frame.get(out);
         return out;
     }
 
-    String text(int n, String field) {
-        return new String(bytes(n, field), StandardCharsets.UTF_8);
+    String text(int length, String field) {
+        return new String(bytes(length, field), StandardCharsets.UTF_8);
     }
 
-    private void need(int n, String field) {
-        if (frame.remaining() < n) {
-            throw cutOff(field);
+    private void requireBytes(int length, String field) {
+        if (frame.remaining() < length) {
+            throw truncated(field);
         }
     }
 
-    private WireException cutOff(String field) {
-        return new WireException("frame is cut off in field '" + field + "' at byte " + frame.position());
+    private WireException truncated(String field) {
+        return new WireException("frame is truncated in field '" + field + "' at byte " + frame.position());
     }
 }
--- a/src/main/java/wingspread/wirehost/Instance.java
+++ b/src/main/java/wingspread/wirehost/Instance.java
@@ -4,7 +4,7 @@
 import wingspread.control.CallControl.Report;
 import java.util.List;
 
-/** One softswitch on the wire: passes the actions of its control on to the reply. */
+/** One softswitch instance of the simulator: encodes the actions of its call control into the reply. */
 final class Instance implements CallControl.Host {
     private final long id;
     private final ReplyWriter reply;
@@ -18,20 +18,30 @@
         this.reportFields = reportFields;
     }
 
+    /** Sets the call control, which can only be created after this host of it. */
     void attach(CallControl newControl) {
         control = newControl;
     }
 
-    /** The clock of the batch that is played, from which the wire's durations count. */
-    void at(long batchClock) {
-        now = batchClock;
+    /**
+     * Sets the time of the batch being processed. Deadlines are encoded as durations from this time.
+     *
+     * @param batchMicros the batch's clock
+     */
+    void setNow(long batchMicros) {
+        now = batchMicros;
     }
 
+    /** Returns the call control, or null if its constructor failed. */
     CallControl control() {
         return control;
     }
 
-    /** Names the values of a load report; the wire says -1 for one that does not apply. */
+    /**
+     * Converts the values of a load report, which come in the order that the settings give the report's fields.
+     *
+     * <p>A negative value means that the field does not apply; it becomes NaN, as do fields that are not reported.
+     */
     Report report(double[] values) {
         return values.length == 0 ? Report.NOTHING : new Report(value(values, "idle"), value(values,
                 "circuits"),
@@ -40,8 +50,8 @@
     }
 
     private double value(double[] values, String field) {
-        int at = reportFields.indexOf(field);
-        return at < 0 || at >= values.length || values[at] < 0 ? Double.NaN : values[at];
+        int index = reportFields.indexOf(field);
+        return index < 0 || index >= values.length || values[index] < 0 ? Double.NaN : values[index];
     }
 
     @Override
--- a/src/main/java/wingspread/wirehost/Instances.java
+++ b/src/main/java/wingspread/wirehost/Instances.java
@@ -17,44 +17,55 @@
 import java.util.List;
 import java.util.Map;
 
-/** The table of instances: reads batches of events and hands each to the control it concerns. */
+/**
+ * The softswitch instances of the simulator: decodes batches of events and passes each event to the call control of
+ * its instance.
+ *
+ * <p>A context record names the instance of the events that follow it in the same batch.
+ */
 final class Instances {
-    private static final int LIST_ENTRY = 24;
-    private static final int REDIAL = 2;
-    private static final int TRANSIT = 8;
-    private static final int CUT = 16;
+    private static final int LIST_ENTRY_BYTES = 24;
+    private static final int REDIAL_FLAG = 2;
+    private static final int TRANSIT_FLAG = 8;
+    private static final int CUT_FLAG = 16;
 
     private final ReplyWriter reply;
     private final Map<Long, Instance> instances = new HashMap<>();
+    /** Exchange lists, keyed by their number on the wire. */
     private final Map<Integer, List<Exchange>> lists = new HashMap<>();
-    private long current;
-    private boolean named;
+    private long currentId;
+    private boolean hasContext;
 
     Instances(ReplyWriter reply) {
         this.reply = reply;
     }
 
-    /** Plays one batch; {@code body} is the frame after its length. */
-    void play(byte[] body) {
+    /**
+     * Processes one batch of events.
+     *
+     * @param body the frame without its length prefix
+     * @throws WireException if the frame is malformed
+     */
+    void process(byte[] body) {
         FrameReader in = new FrameReader(body);
         long now = in.u64("clock");
-        named = false;
+        hasContext = false;
         while (!in.atEnd()) {
-            int at = in.offset();
+            int offset = in.offset();
             int code = in.u8("event code");
             if (code == 11) {
-                current = in.u32("softswitch-id");
-                named = true;
+                currentId = in.u32("softswitch-id");
+                hasContext = true;
             } else if (code == 2) {
                 readList(in);
-            } else if (!named) {
-                throw new WireException("event " + code + " at byte " + at + " comes before any context");
+            } else if (!hasContext) {
+                throw new WireException("event " + code + " at byte " + offset + " comes before any context record");
             } else if (code == 9) {
                 start(in, now);
             } else if (code == 6) {
-                instances.remove(current);
+                instances.remove(currentId);
             } else {
-                event(code, at, in, now);
+                dispatch(code, offset, in, now);
             }
         }
     }
@@ -63,48 +74,53 @@
         long seed = in.u64("salt");
         String text = in.text(in.count(in.u32("params"), 1, "params"), "params");
         SettingsParser.Parsed parsed = SettingsParser.parse(text);
-        Instance instance = new Instance(current, reply, parsed.reportFields());
-        instances.put(current, instance);
-        instance.at(now);
-        guard(() -> instance.attach(new WindowControl(now, parsed.settings(), Figures.USUAL, seed, instance)));
+        Instance instance = new Instance(currentId, reply, parsed.reportFields());
+        instances.put(currentId, instance);
+        instance.setNow(now);
+        reportException(() -> instance.attach(new WindowControl(now, parsed.settings(),
+                Figures.USUAL, seed, instance)));
     }
 
-    /** An event is read whole also where no instance lives any longer to hear it. */
-    private void event(int code, int at, FrameReader in, long now) {
-        Instance instance = instances.get(current);
+    /**
+     * Decodes one event and passes it to the current instance.
+     *
+     * <p>The event is decoded in full even if the instance has been removed, so that the next event is found.
+     */
+    private void dispatch(int code, int offset, FrameReader in, long now) {
+        Instance instance = instances.get(currentId);
         if (instance != null) {
-            instance.at(now);
+            instance.setNow(now);
         }
         switch (code) {
             case 0 -> {
                 long token = in.u64("tag");
-                tell(instance, c -> c.onTimer(now, token));
+                deliver(instance, control -> control.onTimer(now, token));
             }
             case 1 -> {
                 Outcome outcome = readOutcome(in, instance);
-                tell(instance, c -> c.onOutcome(now, outcome));
+                deliver(instance, control -> control.onOutcome(now, outcome));
             }
             case 3 -> {
                 long call = in.u64("xid");
                 long exchange = in.exchange("exchange");
-                long took = in.u32("duration");
+                long elapsedMicros = in.u32("duration");
                 int attempt = in.u16("n");
-                tell(instance, c -> c.onStood(now, call, attempt, exchange, took));
+                deliver(instance, control -> control.onStood(now, call, attempt, exchange, elapsedMicros));
             }
             case 4 -> {
                 long call = in.u64("xid");
-                tell(instance, c -> c.onDropped(now, call));
+                deliver(instance, control -> control.onDropped(now, call));
             }
             case 5 -> {
                 Call call = readCall(in, now);
-                tell(instance, c -> c.onCall(now, call));
+                deliver(instance, control -> control.onCall(now, call));
             }
             case 7 -> {
                 Status status = status(in.u8("code"));
-                long took = in.u32("duration");
+                long elapsedMicros = in.u32("duration");
                 long exchange = in.exchange("exchange");
                 Report report = readReport(in, instance);
-                tell(instance, c -> c.onReport(now, exchange, status, took, report));
+                deliver(instance, control -> control.onReport(now, exchange, status, elapsedMicros, report));
             }
             case 8 -> {
                 in.u32("stamp");
@@ -112,45 +128,45 @@
                 int table = in.u16("table");
                 List<Exchange> entries = kind == ListKind.FAILED ? List.of() : lists.get(table);
                 if (entries == null) {
-                    throw new WireException("fleet event at byte " + at + " names unknown list " + table);
+                    throw new WireException("fleet event at byte " + offset + " refers to unknown list " + table);
                 }
-                tell(instance, c -> c.onExchangeList(now, kind, entries));
+                deliver(instance, control -> control.onExchangeList(now, kind, entries));
             }
             case 10 -> {
                 int from = in.u16("origin-peer");
                 byte[] message = in.bytes(in.u16("raw"), "raw");
-                tell(instance, c -> c.onPeer(now, from, message));
+                deliver(instance, control -> control.onPeer(now, from, message));
             }
-            default -> throw new WireException("unknown event code " + code + " at byte " + at);
+            default -> throw new WireException("unknown event code " + code + " at byte " + offset);
         }
     }
 
-    /** One event for one control. */
-    private interface Telling {
-        void to(CallControl control);
+    /** A decoded event: the call of one method of the call control. */
+    private interface Event {
+        void deliverTo(CallControl control);
     }
 
-    private void tell(Instance instance, Telling telling) {
+    private void deliver(Instance instance, Event event) {
         if (instance != null && instance.control() != null) {
-            guard(() -> telling.to(instance.control()));
+            reportException(() -> event.deliverTo(instance.control()));
         }
     }
 
-    /** Declares an exception of the decision code to the bench, with its text. */
-    private void guard(Runnable decision) {
+    /** Runs code of the call control and reports an exception to the simulator, with its text and top stack frame. */
+    private void reportException(Runnable action) {
         try {
-            decision.run();
+            action.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(current, e + (trace.length > 0 ? " at " + trace[0] : ""));
+            reply.fault(currentId, e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
     private void readList(FrameReader in) {
         int number = in.u16("table");
-        int n = in.count(in.u32("entries"), LIST_ENTRY, "entries");
-        List<Exchange> entries = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
+        int count = in.count(in.u32("entries"), LIST_ENTRY_BYTES, "entries");
+        List<Exchange> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
             entries.add(new Exchange(in.exchange("exchange"), in.u16("rack-zone"), in.u8("generation-hw"),
                     in.u16("place-no"), readiness(in.u8("readiness")), in.f32("weight"), in.u64("up-since")));
         }
@@ -167,9 +183,9 @@
         int destination = (int) in.f32("called-node");
         double width = in.f32("slots-needed");
         int via = (int) in.f32("hop");
-        int bits = in.u8("bits");
-        return new Call(id, callClass, number, deadline, destination, width, via, (bits & REDIAL) != 0,
-                (bits & TRANSIT) != 0, (bits & CUT) != 0);
+        int flags = in.u8("bits");
+        return new Call(id, callClass, number, deadline, destination, width, via, (flags & REDIAL_FLAG) != 0,
+                (flags & TRANSIT_FLAG) != 0, (flags & CUT_FLAG) != 0);
     }
 
     private static Outcome readOutcome(FrameReader in, Instance instance) {
@@ -177,19 +193,19 @@
         int attempt = in.u16("n");
         boolean closed = in.u8("finished") != 0;
         long exchange = in.exchange("exchange");
-        long took = in.u32("duration");
+        long elapsedMicros = in.u32("duration");
         Status status = status(in.u8("code"));
-        long note = in.u32("clear-code");
+        long clearCode = in.u32("clear-code");
         Report report = readReport(in, instance);
-        Cause cause = switch ((int) (note & 15)) {
+        Cause cause = switch ((int) (clearCode & 15)) {
             case 1 -> Cause.NO_CIRCUIT;
-            case 2 -> note >> 4 == 1 ? Cause.BEYOND_FULL : Cause.TANDEM_BLOCKED;
+            case 2 -> clearCode >> 4 == 1 ? Cause.BEYOND_FULL : Cause.TANDEM_BLOCKED;
             case 3 -> Cause.PROCESSOR_FULL;
             case 4 -> Cause.LINES_BUSY;
             default -> Cause.NONE;
         };
-        long wait = cause == Cause.PROCESSOR_FULL ? (note >> 4) * 1000 : 0;
-        return new Outcome(call, attempt, closed, exchange, took, status, cause, wait, report);
+        long waitMicros = cause == Cause.PROCESSOR_FULL ? (clearCode >> 4) * 1000 : 0;
+        return new Outcome(call, attempt, closed, exchange, elapsedMicros, status, cause, waitMicros, report);
     }
 
     private static Report readReport(FrameReader in, Instance instance) {
--- a/src/main/java/wingspread/wirehost/ReplyWriter.java
+++ b/src/main/java/wingspread/wirehost/ReplyWriter.java
@@ -8,125 +8,134 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Collects the actions that answer one batch and writes them as one reply. */
+/**
+ * Encodes the actions that result from one batch of events and writes them as one reply.
+ *
+ * <p>A reply starts with the number of records and its length in bytes, header included. A context record precedes the
+ * first action of each run of actions of one instance.
+ */
 final class ReplyWriter {
-    private static final int HEADER = 8;
+    private static final int HEADER_BYTES = 8;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final DataOutputStream out = new DataOutputStream(bytes);
-    private int records;
-    private long owner = -1;
+    private int recordCount;
+    /** The instance of the last context record of this reply, or -1 for none. */
+    private long contextInstance = -1;
 
-    /** One action's fields, written to memory. */
+    /** Encodes the fields of one action. */
     private interface Fields {
         void write(DataOutputStream out) throws IOException;
     }
 
-    void send(long instance, long call, long exchange, long limit) {
-        record(instance, 0, o -> {
-            o.writeLong(call);
-            writeExchange(o, exchange);
-            o.writeInt(u32(limit));
+    void send(long instance, long call, long exchange, long limitMicros) {
+        record(instance, 0, data -> {
+            data.writeLong(call);
+            writeExchange(data, exchange);
+            data.writeInt(u32(limitMicros));
         });
     }
 
-    void refuse(long instance, long call, long retryAfter) {
-        record(instance, 1, o -> {
-            o.writeLong(call);
-            o.writeInt(u32(retryAfter));
+    void refuse(long instance, long call, long retryAfterMicros) {
+        record(instance, 1, data -> {
+            data.writeLong(call);
+            data.writeInt(u32(retryAfterMicros));
         });
     }
 
     void fail(long instance, long call) {
-        record(instance, 2, o -> o.writeLong(call));
+        record(instance, 2, data -> data.writeLong(call));
     }
 
     void cancel(long instance, long call, int attempt) {
-        record(instance, 3, o -> {
-            o.writeLong(call);
-            o.writeShort(attempt);
+        record(instance, 3, data -> {
+            data.writeLong(call);
+            data.writeShort(attempt);
         });
     }
 
-    void timer(long instance, long delay, long token) {
-        record(instance, 4, o -> {
-            o.writeInt(u32(delay));
-            o.writeLong(token);
+    void timer(long instance, long delayMicros, long token) {
+        record(instance, 4, data -> {
+            data.writeInt(u32(delayMicros));
+            data.writeLong(token);
         });
     }
 
     void probe(long instance, long exchange) {
-        record(instance, 5, o -> writeExchange(o, exchange));
+        record(instance, 5, data -> writeExchange(data, exchange));
     }
 
     void closeIdle(long instance, long exchange) {
-        record(instance, 6, o -> writeExchange(o, exchange));
+        record(instance, 6, data -> writeExchange(data, exchange));
     }
 
     void tell(long instance, int peer, byte[] message) {
-        record(instance, 7, o -> {
-            o.writeShort(peer);
-            o.writeShort(message.length);
-            o.write(message);
+        record(instance, 7, data -> {
+            data.writeShort(peer);
+            data.writeShort(message.length);
+            data.write(message);
         });
     }
 
+    /** Adds a log line of an instance. */
     void log(long instance, String line) {
-        record(instance, 8, o -> writeText(o, line));
+        record(instance, 8, data -> writeText(data, line));
     }
 
+    /** Adds the report of an exception in an instance's call control. */
     void fault(long instance, String line) {
-        record(instance, 9, o -> writeText(o, line));
+        record(instance, 9, data -> writeText(data, line));
     }
 
     void subscribe(long instance, boolean on) {
-        record(instance, 10, o -> o.writeByte(on ? 1 : 0));
+        record(instance, 10, data -> data.writeByte(on ? 1 : 0));
     }
 
     void fetchList(long instance) {
-        record(instance, 11, o -> { });
+        record(instance, 11, data -> { });
     }
 
-    /** Writes the reply and starts the next one. */
+    /** Writes the reply to the given stream, flushes it and starts the next reply. */
     void flushTo(OutputStream target) throws IOException {
         byte[] body = bytes.toByteArray();
-        target.write(ByteBuffer.allocate(HEADER).putInt(records).putInt(HEADER + body.length).array());
+        target.write(ByteBuffer.allocate(HEADER_BYTES).putInt(recordCount).putInt(HEADER_BYTES + body.length).array());
         target.write(body);
         target.flush();
         bytes.reset();
-        records = 0;
-        owner = -1;
+        recordCount = 0;
+        contextInstance = -1;
     }
 
     private void record(long instance, int code, Fields fields) {
         try {
-            if (owner != instance) {
+            if (contextInstance != instance) {
                 out.writeByte(12);
                 out.writeInt((int) instance);
-                records++;
-                owner = instance;
+                recordCount++;
+                contextInstance = instance;
             }
             out.writeByte(code);
             fields.write(out);
-            records++;
+            recordCount++;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void writeExchange(DataOutputStream o, long exchange) throws IOException {
-        o.writeInt((int) (exchange >>> 16));
-        o.writeShort((int) exchange);
+    private static void writeExchange(DataOutputStream data, long exchange) throws IOException {
+        data.writeInt((int) (exchange >>> 16));
+        data.writeShort((int) exchange);
     }
 
-    private static void writeText(DataOutputStream o, String line) throws IOException {
+    /** Writes a line as UTF-8 with a 16-bit length; bytes beyond 65,535 are dropped. */
+    private static void writeText(DataOutputStream data, String line) throws IOException {
         byte[] text = line.getBytes(StandardCharsets.UTF_8);
-        int n = Math.min(text.length, 0xffff);
-        o.writeShort(n);
-        o.write(text, 0, n);
+        int length = Math.min(text.length, 0xffff);
+        data.writeShort(length);
+        data.write(text, 0, length);
     }
 
-    /** A duration as the wire holds it: a u32, cut to what fits. */
+    /** Returns a duration as an unsigned 32-bit integer, limited to the range of that type. */
     private static int u32(long value) {
         return (int) Math.max(0, Math.min(value, 0xffffffffL));
     }
--- a/src/main/java/wingspread/wirehost/WireException.java
+++ b/src/main/java/wingspread/wirehost/WireException.java
@@ -1,6 +1,6 @@
 package wingspread.wirehost;
 
-/** Input that cannot be understood; the message names what and where, in one line. */
+/** Thrown for malformed input; the message names the fault and its position in one line. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wingspread/wirehost/WireHost.java
+++ b/src/main/java/wingspread/wirehost/WireHost.java
@@ -12,30 +12,39 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** Plays the decision module over the bench's wire, on standard input and output. */
+/**
+ * Connects the call control to the simulator, over standard input and output.
+ *
+ * <p>The simulator writes frames: a length prefix, the time on the simulator's clock and a batch of events. Each frame
+ * gets one reply.
+ */
 public final class WireHost {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
     private static final int LENGTH_BYTES = 4;
-    private static final int SHORTEST_FRAME = 12;
+    private static final int MIN_FRAME_BYTES = 12;
 
     private WireHost() { }
 
-    /** Plays standard input to standard output; returns the exit code. */
+    /**
+     * Processes standard input until it ends.
+     *
+     * @return the exit code: 0 at the end of input, 1 for malformed input or settings or an I/O error
+     */
     public static int run() {
-        OutputStream wire = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER);
+        OutputStream wire = new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
         return run(System.in, wire, System.err);
     }
 
-    /** Returns the exit code: 0 at a clean end of input, 1 on input it cannot read. */
+    /** Processes frames until the input ends and returns the exit code; an error is one line on {@code err}. */
     static int run(InputStream in, OutputStream out, PrintStream err) {
         long frames = 0;
         try {
-            DataInputStream data = new DataInputStream(new BufferedInputStream(in, BUFFER));
+            DataInputStream data = new DataInputStream(new BufferedInputStream(in, BUFFER_BYTES));
             ReplyWriter reply = new ReplyWriter();
             Instances instances = new Instances(reply);
-            for (byte[] body = next(data); body != null; body = next(data)) {
+            for (byte[] body = readFrame(data); body != null; body = readFrame(data)) {
                 frames++;
-                instances.play(body);
+                instances.process(body);
                 reply.flushTo(out);
             }
             return 0;
@@ -45,16 +54,16 @@
         }
     }
 
-    /** The next frame after its length, or null at the end of input. */
-    private static byte[] next(DataInputStream in) throws IOException {
-        int first = in.read();
-        if (first < 0) {
+    /** Returns the body of the next frame, without its length prefix, or null at the end of input. */
+    private static byte[] readFrame(DataInputStream in) throws IOException {
+        int firstByte = in.read();
+        if (firstByte < 0) {
             return null;
         }
         try {
-            long length = (long) first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
-            if (length < SHORTEST_FRAME || length > Integer.MAX_VALUE) {
-                throw new WireException("frame states a length of " + length + " bytes");
+            long length = (long) firstByte << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
+            if (length < MIN_FRAME_BYTES || length > Integer.MAX_VALUE) {
+                throw new WireException("invalid frame length of " + length + " bytes");
             }
             byte[] body = in.readNBytes((int) length - LENGTH_BYTES);
             if (body.length < length - LENGTH_BYTES) {
@@ -62,7 +71,7 @@
             }
             return body;
         } catch (EOFException e) {
-            throw new WireException("input ends inside a frame's length");
+            throw new WireException("input ends inside a frame's length prefix");
         }
     }
 }
--- a/src/test/java/wingspread/wirehost/WireTest.java
+++ b/src/test/java/wingspread/wirehost/WireTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The wire in both directions, on frames written by hand, and what bad input gets. */
+/** Tests the simulator's protocol in both directions with frames written as hex, and the errors for malformed input. */
 class WireTest {
     private static final String CLOCK = "0000000000805c5a";
     private static final String CONTEXT = "0b00000003";
@@ -35,9 +35,9 @@
             """;
     private static final String LIST = "02" + "0000" + "00000001"
             + "0a124a071b5b" + "0000" + "00" + "0001" + "00" + "3f800000" + "0000000000000000";
-    private static final String FLEET = "08" + "00000029" + "02" + "0000";
-    /** A call to place 1, one circuit wide, with 0x2dc6c0 = 3 s left. */
-    private static final String CALL = "05" + "000c6ff25d3a91c4" + "0000" + "00000000" + "00000000000000cd"
+    private static final String LIST_EVENT = "08" + "00000029" + "02" + "0000";
+    /** A call to exchange 1 that needs one circuit and has 0x2dc6c0 microseconds (3 s) until its deadline. */
+    private static final String CALL_EVENT = "05" + "000c6ff25d3a91c4" + "0000" + "00000000" + "00000000000000cd"
             + "002dc6c0" + "00000000" + "3f800000" + "3f800000" + "bf800000" + "00";
 
     private record Run(int code, String out, String err) { }
@@ -47,7 +47,7 @@
         return String.format("%08x", 4 + body.length() / 2) + body;
     }
 
-    private static String born(String settings) {
+    private static String startEvent(String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return "09" + "000000000000002a" + String.format("%08x", text.length)
                 + HexFormat.of().formatHex(text);
@@ -62,31 +62,31 @@
                 err.toString(StandardCharsets.UTF_8));
     }
 
-    private static Run play(String... frames) {
+    private static Run runFrames(String... frames) {
         return run(String.join("", frames));
     }
 
-    private static void assertComplaint(Run run, String word) {
+    private static void assertError(Run run, String expectedText) {
         assertEquals(1, run.code());
-        assertTrue(run.err().contains(word), run.err());
+        assertTrue(run.err().contains(expectedText), run.err());
         assertEquals(1, run.err().lines().count());
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() {
-        Run run = play(frame());
+    void answersEmptyBatchWithEmptyReply() {
+        Run run = runFrames(frame());
         assertEquals("00000000" + "00000008", run.out());
         assertEquals(0, run.code());
     }
 
     @Test
-    void endOfInputBetweenFramesIsACleanExit() {
-        assertEquals(new Run(0, "", ""), play());
+    void exitsWithZeroAtEndOfInputBetweenFrames() {
+        assertEquals(new Run(0, "", ""), runFrames());
     }
 
     @Test
-    void aCallBecomesASetUpWithItsTimer() {
-        Run run = play(frame(CONTEXT, born(SETTINGS), LIST, FLEET, CALL));
+    void startsSetUpAndTimerForCall() {
+        Run run = runFrames(frame(CONTEXT, startEvent(SETTINGS), LIST, LIST_EVENT, CALL_EVENT));
         assertEquals("", run.err());
         assertEquals("00000003" + "0000002d" + "0c00000003"
                 + "04" + "002d9fb0" + "000c6ff25d3a91c4"
@@ -94,17 +94,17 @@
     }
 
     @Test
-    void anOutcomeIsReadWhole() {
+    void decodesAllFieldsOfOutcome() {
         String full = "01" + "000c6ff25d3a91c4" + "0000" + "00" + "0a124a071b5b" + "00004844" + "08" + "00000003"
                 + "02" + "40a00000" + "42480000";
-        Run run = play(frame(CONTEXT, born(SETTINGS), LIST, FLEET, CALL), frame(CONTEXT, full));
+        Run run = runFrames(frame(CONTEXT, startEvent(SETTINGS), LIST, LIST_EVENT, CALL_EVENT), frame(CONTEXT, full));
         assertEquals("", run.err());
         assertTrue(run.out().endsWith("00000002" + "0000001a" + "0c00000003"
                 + "01" + "000c6ff25d3a91c4" + "00000000"), run.out());
     }
 
     @Test
-    void everyActionHasItsForm() throws Exception {
+    void encodesEveryAction() throws Exception {
         ReplyWriter writer = new ReplyWriter();
         writer.fail(3, 5);
         writer.cancel(3, 5, 1);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void settingsAreReadAndUnknownOnesIgnored() {
+    void readsSettingsAndIgnoresUnknownOnes() {
         Settings settings = SettingsParser.parse(SETTINGS + "balancers=4\nfamily-info.class-width=4\n").settings();
         assertEquals(Layout.NETWORK, settings.layout());
         assertEquals(4, settings.softswitches());
@@ -134,34 +134,34 @@
     }
 
     @Test
-    void missingAndUnreadableSettingsAreNamed() {
-        assertComplaint(play(frame(CONTEXT, born(SETTINGS.replace("services.0.aim", "x")))), "services.0.aim");
-        assertComplaint(play(frame(CONTEXT, born(SETTINGS.replace("=500000", "=soon")))), "family-info.release");
-        assertComplaint(play(frame(CONTEXT, born(SETTINGS.replace("network", "star")))), "family-info.layout");
+    void namesMissingAndInvalidSettings() {
+        assertError(runFrames(frame(CONTEXT, startEvent(SETTINGS.replace("services.0.aim", "x")))), "services.0.aim");
+        assertError(runFrames(frame(CONTEXT, startEvent(SETTINGS.replace("=500000", "=soon")))), "family-info.release");
+        assertError(runFrames(frame(CONTEXT, startEvent(SETTINGS.replace("network", "star")))), "family-info.layout");
     }
 
     @Test
-    void badFramesAreNamed() {
-        assertComplaint(play(frame(CONTEXT, CALL.substring(0, 20))), "category");
-        assertComplaint(play(frame().substring(0, 10)), "inside a frame");
-        assertComplaint(play("0000"), "length");
-        assertComplaint(play("00000005" + "00"), "length of 5");
-        assertComplaint(play(frame(CONTEXT, "63")), "unknown event code 99");
-        assertComplaint(play(frame(CONTEXT, FLEET)), "unknown list 0");
-        assertComplaint(play(frame("06")), "before any context");
+    void reportsMalformedFrames() {
+        assertError(runFrames(frame(CONTEXT, CALL_EVENT.substring(0, 20))), "category");
+        assertError(runFrames(frame().substring(0, 10)), "inside a frame");
+        assertError(runFrames("0000"), "length");
+        assertError(runFrames("00000005" + "00"), "length of 5");
+        assertError(runFrames(frame(CONTEXT, "63")), "unknown event code 99");
+        assertError(runFrames(frame(CONTEXT, LIST_EVENT)), "unknown list 0");
+        assertError(runFrames(frame("06")), "before any context");
     }
 
     @Test
-    void eventsForAnInstanceThatIsDownAreIgnored() {
-        Run run = play(frame(CONTEXT, born(SETTINGS), LIST, FLEET, "06"), frame(CONTEXT, CALL));
+    void ignoresEventsForRemovedInstance() {
+        Run run = runFrames(frame(CONTEXT, startEvent(SETTINGS), LIST, LIST_EVENT, "06"), frame(CONTEXT, CALL_EVENT));
         assertEquals(0, run.code());
         assertEquals("00000000" + "00000008" + "00000000" + "00000008", run.out());
     }
 
     @Test
-    void anExceptionOfTheDecisionsIsDeclared() {
-        String noSuchClass = CALL.replace("c4" + "0000", "c4" + "0009");
-        Run run = play(frame(CONTEXT, born(SETTINGS), LIST, FLEET, noSuchClass));
+    void reportsExceptionOfCallControlAsFault() {
+        String unknownClass = CALL_EVENT.replace("c4" + "0000", "c4" + "0009");
+        Run run = runFrames(frame(CONTEXT, startEvent(SETTINGS), LIST, LIST_EVENT, unknownClass));
         assertEquals(0, run.code());
         assertTrue(run.out().startsWith("00000002"), run.out());
         assertTrue(run.out().contains("0c00000003" + "09"), run.out());
