--- a/src/main/java/wingspread/cli/Cli.java
+++ b/src/main/java/wingspread/cli/Cli.java
@@ -13,20 +13,25 @@
 import wingspread.testbed.soak.SoakException;
 import wingspread.toml.TomlException;
 
-/** The command line: what {@code serve} and {@code wirehost} alone do not need. */
+/**
+ * The command line of the program.
+ *
+ * <p>{@code serve} and {@code wirehost} without options start without this class, so that they do not load its
+ * libraries.
+ */
 @Command(name = "wingspread", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "A softswitch, and a laboratory for it.", subcommands = {TryCommand.class, LabCommand.class,
-            TestbedCommand.class})
+        description = "A softswitch, and a laboratory to simulate and test it.",
+        subcommands = {TryCommand.class, LabCommand.class, TestbedCommand.class})
 public final class Cli implements Runnable {
-    /** Exit code where the command line or a file of settings cannot be taken. */
-    public static final int USAGE = 2;
+    /** Exit code for an invalid command line or file. */
+    public static final int USAGE_ERROR = 2;
 
     @Spec
     private CommandSpec spec;
 
     private Cli() { }
 
-    /** A command that the program has without this package: it takes no options of its own. */
+    /** A command that is implemented outside this package and has no options of its own. */
     @Command(mixinStandardHelpOptions = true, versionProvider = Version.class)
     private static final class Delegate implements Callable<Integer> {
         private final IntSupplier command;
@@ -41,48 +46,55 @@
         }
     }
 
-    /** Runs a command; the exit code, or what {@code serve} or {@code wirehost} give. */
+    /**
+     * Runs a command.
+     *
+     * @param serve runs the softswitch and returns its exit code
+     * @param wirehost connects the call control to the simulator and returns the exit code
+     * @return the exit code of the command, as returned by {@code serve} or {@code wirehost} for these two
+     */
     public static int run(IntSupplier serve, IntSupplier wirehost, String... args) {
         CommandLine line = commandLine();
         delegate(line, "serve", serve, "Runs a softswitch; reads LB_NAME, LB_LISTEN and LB_CONFIG.");
-        delegate(line, "wirehost", wirehost, "Hosts the decisions on the simulator's wire, on standard input.");
+        delegate(line, "wirehost", wirehost,
+                "Connects the call control to the simulator, over standard input and output.");
         return line.execute(args);
     }
 
-    private static void delegate(CommandLine line, String name, IntSupplier command, String what) {
+    private static void delegate(CommandLine line, String name, IntSupplier command, String description) {
         CommandLine sub = new CommandLine(new Delegate(command));
-        sub.getCommandSpec().usageMessage().description(what);
+        sub.getCommandSpec().usageMessage().description(description);
         line.addSubcommand(name, sub);
     }
 
-    /** The command line, whose outputs can be set elsewhere. */
+    /** Returns the command line without {@code serve} and {@code wirehost}; its output streams can be replaced. */
     public static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Cli());
         line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setParameterExceptionHandler((e, args) -> complain(e.getCommandLine(), e.getMessage()));
+        line.setParameterExceptionHandler((e, args) -> printError(e.getCommandLine(), e.getMessage()));
         line.setExecutionExceptionHandler((e, command, result) -> {
             if (e instanceof TomlException || e instanceof HostException
                     || e instanceof Recording.NoRecordingException || e instanceof SoakException) {
-                return complain(command, e.getMessage());
+                return printError(command, e.getMessage());
             }
             if (e instanceof IOException) {
-                return complain(command, e.getClass().getSimpleName() + ": " + e.getMessage());
+                return printError(command, e.getClass().getSimpleName() + ": " + e.getMessage());
             }
             throw e;
         });
         return line;
     }
 
-    /** One line on the error output. */
-    private static int complain(CommandLine command, String message) {
+    /** Prints an error as one line, joining the lines of the message, and returns the exit code. */
+    private static int printError(CommandLine command, String message) {
         PrintWriter err = command.getErr();
         err.println("wingspread: " + message.replaceAll("\\s*\\R\\s*", " "));
         err.flush();
-        return USAGE;
+        return USAGE_ERROR;
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "no command given; --help lists them");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command; --help lists the commands");
     }
 }
--- a/src/main/java/wingspread/cli/CompareOptions.java
+++ b/src/main/java/wingspread/cli/CompareOptions.java
@@ -16,70 +16,77 @@
 import wingspread.lab.host.SoftswitchPool;
 import wingspread.lab.world.Model;
 
-/** What is compared with what, and how well. */
+/** The options of a comparison: the two variants, A and B, and the precision of the result. */
 final class CompareOptions {
     @Option(names = "--a", defaultValue = "usual", paramLabel = "SETTING",
-            description = "usual, a TOML file with [figures], or figure=value,figure=value ('lab list --figures')")
-    private String a;
+            description =
+            "parameters of A: usual, a TOML file with [figures], or name=value,name=value ('lab list --figures')")
+    private String settingA;
 
     @Option(names = "--b", defaultValue = "usual", paramLabel = "SETTING", description = "the same for B")
-    private String b;
+    private String settingB;
 
     @Option(names = "--jar-a", paramLabel = "JAR",
-            description = "another built jar of this program, whose softswitches A runs with")
+            description = "jar of another version of this program, which hosts the softswitches of A")
     private Path jarA;
 
     @Option(names = "--jar-b", paramLabel = "JAR", description = "the same for B")
     private Path jarB;
 
-    @Option(names = "--storm-a", paramLabel = "STORM", description = "A damps storms by these figures:"
-            + " usual, a file as deploy/storm.toml, or damping.method=\"gap\",damping.ramp=\"2s\" (not with --jar-a)")
+    @Option(names = "--storm-a", paramLabel = "STORM", description = "storm control of A: usual, a file"
+            + " such as deploy/storm.toml, or damping.method=\"gap\",damping.ramp=\"2s\" (not with --jar-a)")
     private String stormA;
 
     @Option(names = "--storm-b", paramLabel = "STORM", description = "the same for B")
     private String stormB;
 
     @Option(names = "--width", defaultValue = "0.005", paramLabel = "SHARE",
-            description = "half the width of the 95%% interval that is asked for (default: 0.005)")
+            description = "target half-width of the 95%% confidence interval (default: 0.005)")
     private double width;
 
-    @Option(names = "--pilot", defaultValue = "16", description = "pairs of days played first (default: 16)")
+    @Option(names = "--pilot", defaultValue = "16", description = "pairs of days in the first stage (default: 16)")
     private int pilot;
 
-    @Option(names = "--budget", defaultValue = "400", description = "the most pairs of days (default: 400)")
+    @Option(names = "--budget", defaultValue = "400", description = "maximum number of pairs of days (default: 400)")
     private int budget;
 
     @Option(names = "--fresh-luck",
-            description = "the softswitches of B draw random numbers of their own, as in A against A")
-    private boolean freshLuck;
-
-    /** Compares; {@code each} hears of every pair of runs. */
-    Comparison compare(Experiment experiment, CommandLine line, BiConsumer<Model.Run, Model.Run> each) {
+            description = "the softswitches of B draw random numbers independently of A, as to compare A with itself")
+    private boolean independentRandom;
+
+    /**
+     * Runs the comparison.
+     *
+     * @param onPair called for each pair of runs, that of A first
+     */
+    Comparison compare(Experiment experiment, CommandLine line, BiConsumer<Model.Run, Model.Run> onPair) {
         if (stormA != null && jarA != null || stormB != null && jarB != null) {
             throw new CommandLine.ParameterException(line,
-                    "a version by its jar and figures for storms on one side: either was expected");
+                    "a jar and storm parameters were given for the same variant; expected only one of them");
         }
-        Setting settingA = Setting.named(a);
-        Setting settingB = Setting.named(b);
-        Progress progress = Progress.on(line.getErr());
-        try (SoftswitchPool poolA = pool(settingA, jarA, stormA);
-                SoftswitchPool poolB = pool(settingB, jarB, stormB)) {
+        Setting parsedA = Setting.named(settingA);
+        Setting parsedB = Setting.named(settingB);
+        Progress progress = Progress.forConsole(line.getErr());
+        try (SoftswitchPool poolA = pool(parsedA, jarA, stormA);
+                SoftswitchPool poolB = pool(parsedB, jarB, stormB)) {
             Comparer comparer = new Comparer(experiment, sampling(line, pilot, budget, width),
-                    () -> progress.step(budget, "pairs of days"), each);
-            Comparison found = comparer.compare(
+                    () -> progress.step(budget, "pairs of days"), onPair);
+            Comparison comparison = comparer.compare(
                     new Variant(nameA(), poolA, 0),
-                    new Variant(nameB(), poolB, freshLuck ? 1 : 0), 0);
+                    new Variant(nameB(), poolB, independentRandom ? 1 : 0), 0);
             progress.end();
-            return found;
+            return comparison;
         }
     }
 
+    /** Returns the name of A for display. */
     String nameA() {
-        return name(Setting.named(a), jarA, stormA);
+        return name(Setting.named(settingA), jarA, stormA);
     }
 
+    /** Returns the name of B for display. */
     String nameB() {
-        return name(Setting.named(b), jarB, stormB);
+        return name(Setting.named(settingB), jarB, stormB);
     }
 
     private static SoftswitchPool pool(Setting setting, Path jar, String storm) {
@@ -94,6 +101,11 @@
         return setting.name() + (jar == null ? "" : " on " + jar) + (storm == null ? "" : ", storms: " + storm);
     }
 
+    /**
+     * Returns the sampling plan of a comparison.
+     *
+     * @throws CommandLine.ParameterException if the numbers are invalid
+     */
     static Sampling sampling(CommandLine line, int pilot, int budget, double width) {
         try {
             return new Sampling(pilot, budget, width);
--- a/src/main/java/wingspread/cli/LabCommand.java
+++ b/src/main/java/wingspread/cli/LabCommand.java
@@ -5,9 +5,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The laboratory: a model of a fleet in virtual time. */
+/** The commands of the laboratory, which simulates a fleet in virtual time. */
 @Command(name = "lab", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Plays and compares softswitches on a model of a fleet.", subcommands = {LabList.class,
+        description = "Runs and compares softswitches in a simulated fleet.", subcommands = {LabList.class,
             LabRun.class, LabCompare.class, LabReport.class, LabCalibrate.class, LabOutage.class,
             LabRecord.class, LabHost.class})
 final class LabCommand implements Runnable {
@@ -16,6 +16,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "lab: no command given; --help lists them");
+        throw new CommandLine.ParameterException(spec.commandLine(), "lab: missing command; --help lists the commands");
     }
 }
--- a/src/main/java/wingspread/cli/LabHost.java
+++ b/src/main/java/wingspread/cli/LabHost.java
@@ -9,17 +9,18 @@
 import wingspread.lab.host.LocalSoftswitches;
 import wingspread.lab.host.PlannerController;
 
-/** Hosts softswitches for the laboratory of another version of this program. */
+/** Hosts softswitches for a comparison that is run by another version of this program. */
 @Command(name = "host", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Hosts softswitches on standard input and output for 'lab compare' of another version.")
+        description = "Hosts softswitches for 'lab compare' of another version, over standard input and output.")
 final class LabHost implements Callable<Integer> {
-    private static final int BUFFER = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     @Override
     public Integer call() throws IOException {
-        new QuietModules().apply();
-        new HostLoop(Version.program(), figures -> new LocalSoftswitches(PlannerController.with(figures)))
-                .run(new BufferedInputStream(System.in, BUFFER), new BufferedOutputStream(System.out, BUFFER));
+        new LogSilencer().apply();
+        new HostLoop(Version.program(), parameters -> new LocalSoftswitches(PlannerController.with(parameters)))
+                .run(new BufferedInputStream(System.in, BUFFER_BYTES),
+                        new BufferedOutputStream(System.out, BUFFER_BYTES));
         return 0;
     }
 }
--- a/src/main/java/wingspread/cli/LabList.java
+++ b/src/main/java/wingspread/cli/LabList.java
@@ -12,18 +12,18 @@
 import wingspread.control.NamedFigures.Unit;
 import wingspread.lab.scenario.Scenario;
 
-/** Says what can be named: the shipped scenarios, what one of them sets, the module's figures. */
+/** Lists the built-in scenarios, the text of one of them, or the control parameters. */
 @Command(name = "list", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Lists the shipped scenarios, the text of one, or the module's figures.")
+        description = "Lists the built-in scenarios, the text of one, or the control parameters.")
 final class LabList implements Runnable {
-    private static final double MILLI = 1_000;
+    private static final double MICROS_PER_MILLI = 1_000;
 
     @Option(names = "--scenario", paramLabel = "NAME",
-            description = "prints a shipped scenario; 'usual' names every setting that there is")
+            description = "print a built-in scenario; 'usual' contains every setting")
     private String scenario;
 
-    @Option(names = "--figures", description = "prints the figures of the module with their bounds")
-    private boolean figures;
+    @Option(names = "--figures", description = "print the control parameters with their default values and bounds")
+    private boolean listParameters;
 
     @Spec
     private CommandSpec spec;
@@ -34,22 +34,25 @@
         if (scenario != null) {
             if (!Scenario.SHIPPED.contains(scenario)) {
                 throw new CommandLine.ParameterException(spec.commandLine(),
-                        scenario + ": one of " + String.join(", ", Scenario.SHIPPED) + " was expected");
+                        scenario + ": unknown scenario; expected one of (" + String.join(", ", Scenario.SHIPPED) + ")");
             }
             out.print(Scenario.shippedText(scenario));
-        } else if (figures) {
+        } else if (listParameters) {
             out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", "figure", "usual", "least", "most");
-            Figures.USUAL.all().forEach(figure -> out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", figure.name(),
-                    value(figure, figure.usual()), value(figure, figure.least()), value(figure, figure.most())));
+            Figures.USUAL.all().forEach(parameter ->
+                    out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", parameter.name(),
+                            value(parameter, parameter.usual()), value(parameter, parameter.least()),
+                            value(parameter, parameter.most())));
         } else {
             Scenario.SHIPPED.forEach(name -> out.printf("%-18s %s%n", name, Scenario.named(name).about()));
         }
         out.flush();
     }
 
-    /** As it is written in a setting: times with their unit. */
-    private static String value(Figure figure, double value) {
-        return figure.unit() == Unit.MICROSECONDS ? String.format(Locale.ROOT, "%sms", number(value / MILLI))
+    /** Formats a value as a setting has it: a time in milliseconds with its unit, others without one. */
+    private static String value(Figure parameter, double value) {
+        return parameter.unit() == Unit.MICROSECONDS
+                ? String.format(Locale.ROOT, "%sms", number(value / MICROS_PER_MILLI))
                 : number(value);
     }
 
--- a/src/main/java/wingspread/cli/LabOptions.java
+++ b/src/main/java/wingspread/cli/LabOptions.java
@@ -11,36 +11,37 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.record.Recording;
 
-/** What all commands of the laboratory take. */
+/** The options that the commands of the laboratory share. */
 final class LabOptions {
     @Option(names = "--scenario", defaultValue = "usual", paramLabel = "NAME|FILE",
-            description = "a shipped scenario ('lab list' has them) or a TOML file (default: ${DEFAULT-VALUE})")
+            description = "a built-in scenario (see 'lab list') or a TOML file (default: ${DEFAULT-VALUE})")
     private String scenario;
 
     @Option(names = "--set", paramLabel = "TOML",
-            description = "one more line of TOML over the scenario, as in --set 'load.level = 1.2'")
-    private String[] more = new String[0];
+            description = "a line of TOML that overrides the scenario, as in --set 'load.level = 1.2'")
+    private String[] overrides = new String[0];
 
     @Option(names = "--recorded", paramLabel = "FILE", arity = "1..*",
-            description = "recordings whose first tries are played in place of drawn calls, one for each exchange")
+            description = "recordings, one for each exchange, whose fresh calls are replayed in place of random ones")
     private List<Path> recorded = new ArrayList<>();
 
-    @Option(names = "--seed", defaultValue = "1", description = "where all randomness comes from (default: 1)")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the random numbers (default: 1)")
     private long seed;
 
-    @Option(names = "--threads", description = "replications played side by side (default: one for each core)")
+    @Option(names = "--threads", description = "replications run in parallel (default: one for each processor)")
     private int threads = Runtime.getRuntime().availableProcessors();
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
+    /** Returns the scenario with its overrides and recorded traffic. */
     Scenario scenario() {
-        Scenario read = Scenario.named(scenario);
-        Scenario whole = more.length == 0 ? read : read.with(String.join("\n", more));
-        return recorded.isEmpty() ? whole : whole.with(recorded.stream().map(this::read).toList());
+        Scenario base = Scenario.named(scenario);
+        Scenario overridden = overrides.length == 0 ? base : base.with(String.join("\n", overrides));
+        return recorded.isEmpty() ? overridden : overridden.with(recorded.stream().map(this::read).toList());
     }
 
-    /** Whoever plays a file that was cut off is told so. */
+    /** Reads a recording; prints a warning if the file is truncated or damaged, and uses the calls before that. */
     private Recording read(Path file) {
         Recording recording = Recording.read(file);
         if (recording.fault() != null) {
@@ -56,14 +57,18 @@
     }
 
     int threads() {
-        return atLeastOne("--threads", threads);
+        return requirePositive("--threads", threads);
     }
 
-    /** A count that was given for an option, if it is one or more. */
-    int atLeastOne(String option, int count) {
+    /**
+     * Returns the count that was given for an option.
+     *
+     * @throws CommandLine.ParameterException if it is less than 1
+     */
+    int requirePositive(String option, int count) {
         if (count < 1) {
             throw new CommandLine.ParameterException(spec.commandLine(),
-                    option + " = " + count + ": 1 or more was expected");
+                    option + " = " + count + ": expected 1 or more");
         }
         return count;
     }
--- a/src/main/java/wingspread/cli/LabOutage.java
+++ b/src/main/java/wingspread/cli/LabOutage.java
@@ -29,109 +29,123 @@
 import wingspread.lab.world.Model;
 import wingspread.metrics.Metrics;
 
-/** Plays an outage without and with damping of storms, and beside both the same days without the outage. */
+/**
+ * Simulates an outage with and without storm control, and the same days without the outage as a baseline, and prints
+ * how long redials take to return to the baseline rate.
+ */
 @Command(name = "outage", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Says how soon redials are back to usual after an outage, with and without storms damped.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:played, all rules kept", "1:a rule was broken",
-            "2:the command line or a file cannot be taken"})
+        description = "Measures when redials return to the baseline after an outage, with and without storm control.",
+        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:all rules were kept", "1:a rule was broken",
+            "2:the command line or a file is invalid"})
 final class LabOutage implements Callable<Integer> {
-    private static final int SECOND = 1_000_000;
+    private static final int MICROS_PER_SECOND = 1_000_000;
     private static final double CONFIDENCE = 0.95;
-    private static final int SHOWN_AFTER = 12;
+    private static final int SECONDS_SHOWN_AFTER_END = 12;
 
     @Mixin
     private LabOptions options;
 
-    @Option(names = "--storm", defaultValue = "usual", paramLabel = "STORM", description = "figures of the damping:"
-            + " usual, a file as deploy/storm.toml, or damping.method=\"gap\" (default: usual)")
+    @Option(names = "--storm", defaultValue = "usual", paramLabel = "STORM", description = "storm control:"
+            + " usual, a file such as deploy/storm.toml, or damping.method=\"gap\" (default: usual)")
     private String storm;
 
-    @Option(names = "--replications", defaultValue = "24", description = "days that are drawn (default: 24)")
+    @Option(names = "--replications", defaultValue = "24",
+            description = "number of random days to simulate (default: 24)")
     private int replications;
 
     @Spec
     private CommandSpec spec;
 
-    private record Triple(Model.Run usual, Model.Run plain, Model.Run damped) { }
+    /**
+     * The runs of one day.
+     *
+     * @param baseline without the outage and without storm control
+     * @param plain with the outage, without storm control
+     * @param damped with the outage and with storm control
+     */
+    private record Triple(Model.Run baseline, Model.Run plain, Model.Run damped) { }
 
     @Override
     public Integer call() {
-        new QuietModules().apply();
+        new LogSilencer().apply();
         Scenario scenario = options.scenario();
         Day day = scenario.day(new Streams(options.seed(), 0));
-        int endsAt = (int) (day.troubles().stream().mapToLong(Trouble::until).max().orElseThrow(() ->
-                new CommandLine.ParameterException(spec.commandLine(), scenario.name() + ": has no trouble"))
-                / SECOND);
-        int days = options.atLeastOne("--replications", replications);
+        int endSecond = (int) (day.troubles().stream().mapToLong(Trouble::until).max().orElseThrow(() ->
+                new CommandLine.ParameterException(spec.commandLine(),
+                        scenario.name() + ": scenario has no [[trouble]] entries"))
+                / MICROS_PER_SECOND);
+        int days = options.requirePositive("--replications", replications);
         Queue<Metrics> counters = new ConcurrentLinkedQueue<>();
-        Progress progress = Progress.on(spec.commandLine().getErr());
-        try (Experiment struck = new Experiment(scenario, options.seed(), options.threads());
-                Experiment calm = new Experiment(scenario.with("trouble = []"), options.seed(), 1);
+        Progress progress = Progress.forConsole(spec.commandLine().getErr());
+        try (Experiment outage = new Experiment(scenario, options.seed(), options.threads());
+                Experiment undisturbed = new Experiment(scenario.with("trouble = []"), options.seed(), 1);
                 SoftswitchPool plain = SoftswitchPool.local(PlannerController.with(Figures.USUAL));
                 SoftswitchPool damped = SoftswitchPool.local(PlannerController.with(Figures.USUAL,
                         StormConfig.named(storm).storm(), () -> {
-                            Metrics one = new Metrics();
-                            counters.add(one);
-                            return one;
+                            Metrics metrics = new Metrics();
+                            counters.add(metrics);
+                            return metrics;
                         }))) {
-            List<Triple> all = struck.each(0, days, n -> {
-                Triple triple = new Triple(plain.with(s -> calm.play(n, s, 0)), plain.with(s -> struck.play(n, s, 0)),
-                        damped.with(s -> struck.play(n, s, 0)));
+            List<Triple> triples = outage.each(0, days, n -> {
+                Triple triple = new Triple(plain.with(s -> undisturbed.play(n, s, 0)),
+                        plain.with(s -> outage.play(n, s, 0)), damped.with(s -> outage.play(n, s, 0)));
                 progress.step(days, "days");
                 return triple;
             });
             progress.end();
             PrintWriter out = spec.commandLine().getOut();
             out.printf(Locale.ROOT, "%s: %s%n", scenario.name(), scenario.about());
-            printRedials(out, all, endsAt, day.length() / (double) SECOND);
-            printService(out, all, endsAt);
+            printRedials(out, triples, endSecond, day.length() / (double) MICROS_PER_SECOND);
+            printService(out, triples, endSecond);
             printCounters(out, counters);
             out.flush();
-            return all.stream().anyMatch(t -> t.plain().breachCount() + t.damped().breachCount() > 0) ? 1 : 0;
+            return triples.stream().anyMatch(t -> t.plain().breachCount() + t.damped().breachCount() > 0) ? 1 : 0;
         }
     }
 
-    private void printRedials(PrintWriter out, List<Triple> all, int endsAt, double length) {
-        List<double[]> usual = redials(all, Triple::usual);
-        List<double[]> plain = redials(all, Triple::plain);
-        List<double[]> damped = redials(all, Triple::damped);
-        double firstTries = all.stream().mapToLong(t -> t.usual().calls()).average().orElse(0) / length;
-        Outage outage = new Outage(endsAt, firstTries);
-        out.printf(Locale.ROOT, "first tries a second: %.1f%nredials a second, by seconds after the end%n", firstTries);
+    private void printRedials(PrintWriter out, List<Triple> triples, int endSecond, double seconds) {
+        List<double[]> baseline = redials(triples, Triple::baseline);
+        List<double[]> plain = redials(triples, Triple::plain);
+        List<double[]> damped = redials(triples, Triple::damped);
+        double freshCallsPerSecond = triples.stream().mapToLong(t -> t.baseline().calls()).average().orElse(0)
+                / seconds;
+        Outage outage = new Outage(endSecond, freshCallsPerSecond);
+        out.printf(Locale.ROOT, "first tries a second: %.1f%nredials a second, by seconds after the end%n",
+                freshCallsPerSecond);
         out.printf(Locale.ROOT, "%8s %9s %9s %9s%n", "second", "usual", "plain", "damped");
-        double[][] means = {Outage.mean(usual), Outage.mean(plain), Outage.mean(damped)};
-        int last = Math.min(endsAt + SHOWN_AFTER, means[0].length - 1);
-        for (int i = Math.max(0, endsAt - 2); i < last; i++) {
-            out.printf(Locale.ROOT, "%8d %9.1f %9.1f %9.1f%n", i - endsAt, means[0][i], means[1][i], means[2][i]);
+        double[][] means = {Outage.mean(baseline), Outage.mean(plain), Outage.mean(damped)};
+        int last = Math.min(endSecond + SECONDS_SHOWN_AFTER_END, means[0].length - 1);
+        for (int i = Math.max(0, endSecond - 2); i < last; i++) {
+            out.printf(Locale.ROOT, "%8d %9.1f %9.1f %9.1f%n", i - endSecond, means[0][i], means[1][i], means[2][i]);
         }
-        printBack(out, "plain", outage.back(usual, plain, options.seed()));
-        printBack(out, "damped", outage.back(usual, damped, options.seed()));
+        printRecovery(out, "plain", outage.back(baseline, plain, options.seed()));
+        printRecovery(out, "damped", outage.back(baseline, damped, options.seed()));
     }
 
-    private static List<double[]> redials(List<Triple> all, Function<Triple, Model.Run> side) {
-        return all.stream().map(t -> side.apply(t).timeline().redials()).toList();
+    private static List<double[]> redials(List<Triple> triples, Function<Triple, Model.Run> side) {
+        return triples.stream().map(t -> side.apply(t).timeline().redials()).toList();
     }
 
-    private static void printBack(PrintWriter out, String name, Outage.Back back) {
+    private static void printRecovery(PrintWriter out, String name, Outage.Back back) {
         out.printf(Locale.ROOT, "%s: redials are back after %.0f s (95%%: %.0f to %.0f)%n", name, back.seconds(),
                 back.low(), back.high());
     }
 
-    private static void printService(PrintWriter out, List<Triple> all, int endsAt) {
+    private static void printService(PrintWriter out, List<Triple> triples, int endSecond) {
         out.printf(Locale.ROOT, "%-22s %8s %8s %8s %9s %9s %9s%n", "service", "usual", "plain", "damped", "difference",
                 "from", "to");
-        printRow(out, "in all", all, run -> run.service().result());
-        printRow(out, "the 10 s before", all, run -> mean(run.service().bySecond(), endsAt - 10, endsAt));
-        printRow(out, "the 10 s after", all, run -> mean(run.service().bySecond(), endsAt, endsAt + 10));
-        List<Service.ByClass> classes = all.get(0).plain().service().classes();
-        IntStream.range(0, classes.size()).forEach(i -> printRow(out, classes.get(i).name(), all,
+        printRow(out, "in all", triples, run -> run.service().result());
+        printRow(out, "the 10 s before", triples, run -> mean(run.service().bySecond(), endSecond - 10, endSecond));
+        printRow(out, "the 10 s after", triples, run -> mean(run.service().bySecond(), endSecond, endSecond + 10));
+        List<Service.ByClass> classes = triples.get(0).plain().service().classes();
+        IntStream.range(0, classes.size()).forEach(i -> printRow(out, classes.get(i).name(), triples,
                 run -> run.service().classes().get(i).service()));
-        long lost = all.stream().mapToLong(t -> t.plain().service().counts().lost()).sum();
-        long lostDamped = all.stream().mapToLong(t -> t.damped().service().counts().lost()).sum();
+        long lostPlain = triples.stream().mapToLong(t -> t.plain().service().counts().lost()).sum();
+        long lostDamped = triples.stream().mapToLong(t -> t.damped().service().counts().lost()).sum();
         out.printf(Locale.ROOT, "calls %d, lost %d plain, %d damped; redials %d plain, %d damped%n",
-                all.stream().mapToLong(t -> t.plain().calls()).sum(), lost, lostDamped,
-                all.stream().mapToLong(t -> t.plain().service().counts().redials()).sum(),
-                all.stream().mapToLong(t -> t.damped().service().counts().redials()).sum());
+                triples.stream().mapToLong(t -> t.plain().calls()).sum(), lostPlain, lostDamped,
+                triples.stream().mapToLong(t -> t.plain().service().counts().redials()).sum(),
+                triples.stream().mapToLong(t -> t.damped().service().counts().redials()).sum());
     }
 
     private static void printCounters(PrintWriter out, Queue<Metrics> counters) {
@@ -143,20 +157,22 @@
     }
 
     private static long count(Queue<Metrics> counters, String name) {
-        return counters.stream().mapToLong(one -> one.value(name)).sum();
+        return counters.stream().mapToLong(metrics -> metrics.value(name)).sum();
     }
 
-    private static void printRow(PrintWriter out, String name, List<Triple> all, Function<Model.Run, Double> part) {
-        Interval difference = Interval.of(all.stream().mapToDouble(t -> part.apply(t.damped()) - part.apply(t.plain()))
+    private static void printRow(PrintWriter out, String name, List<Triple> triples,
+            Function<Model.Run, Double> measure) {
+        Interval difference = Interval.of(triples.stream()
+                .mapToDouble(t -> measure.apply(t.damped()) - measure.apply(t.plain()))
                 .filter(value -> !Double.isNaN(value)).toArray(), CONFIDENCE);
         out.printf(Locale.ROOT, "%-22s %8.4f %8.4f %8.4f %+9.4f %+9.4f %+9.4f%s%n", name,
-                mean(all, t -> part.apply(t.usual())), mean(all, t -> part.apply(t.plain())),
-                mean(all, t -> part.apply(t.damped())), difference.mean(), difference.low(), difference.high(),
+                mean(triples, t -> measure.apply(t.baseline())), mean(triples, t -> measure.apply(t.plain())),
+                mean(triples, t -> measure.apply(t.damped())), difference.mean(), difference.low(), difference.high(),
                 difference.excludesZero() ? " *" : "");
     }
 
-    private static double mean(List<Triple> all, Function<Triple, Double> value) {
-        return all.stream().mapToDouble(value::apply).filter(v -> !Double.isNaN(v)).average().orElse(Double.NaN);
+    private static double mean(List<Triple> triples, Function<Triple, Double> value) {
+        return triples.stream().mapToDouble(value::apply).filter(v -> !Double.isNaN(v)).average().orElse(Double.NaN);
     }
 
     private static double mean(double[] values, int from, int to) {
--- a/src/main/java/wingspread/cli/LabRecord.java
+++ b/src/main/java/wingspread/cli/LabRecord.java
@@ -26,63 +26,64 @@
 import wingspread.record.Recording;
 import wingspread.record.TrafficWriter;
 
-/** Writes a day's calls as recordings, or says what recordings hold. */
+/** Prints a summary of recordings of traffic, or writes the calls of a simulated day as recordings. */
 @Command(name = "record", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Says what recordings of traffic hold, or writes a scenario's day as such (--out).")
+        description = "Prints a summary of recordings of traffic, or writes a day of a scenario as recordings (--out).")
 final class LabRecord implements Callable<Integer> {
-    private static final long LONGEST = 1L << 30;
+    private static final long MAX_FILE_BYTES = 1L << 30;
 
     @Mixin
     private LabOptions options;
 
-    @Parameters(arity = "0..*", paramLabel = "FILE", description = "recordings to look at")
+    @Parameters(arity = "0..*", paramLabel = "FILE", description = "recordings to summarize")
     private List<Path> files = new ArrayList<>();
 
-    @Option(names = "--out", paramLabel = "FOLDER", description = "where to write a scenario's day")
-    private Path out;
+    @Option(names = "--out", paramLabel = "FOLDER", description = "directory to write a day of the scenario to")
+    private Path folder;
 
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException {
-        PrintWriter print = spec.commandLine().getOut();
-        if (out != null) {
+        PrintWriter out = spec.commandLine().getOut();
+        if (folder != null) {
             write();
         }
-        boolean whole = true;
+        boolean allComplete = true;
         for (Path file : files) {
             Recording recording = Recording.read(file);
-            whole &= recording.fault() == null;
-            print.printf(Locale.ROOT, "%s: exchange %d of %d, %d calls in %.1f s, %d dropped, %s%n", file,
+            allComplete &= recording.fault() == null;
+            out.printf(Locale.ROOT, "%s: exchange %d of %d, %d calls in %.1f s, %d dropped, %s%n", file,
                     recording.place(), recording.softswitches(), recording.calls().size(),
                     recording.calls().isEmpty() ? 0
                             : recording.calls().get(recording.calls().size() - 1).at() / 1e6,
                     recording.dropped(), recording.fault() == null ? "whole" : recording.fault());
         }
-        print.flush();
-        return whole ? 0 : 1;
+        out.flush();
+        return allComplete ? 0 : 1;
     }
 
     private void write() throws IOException {
-        new QuietModules().apply();
+        new LogSilencer().apply();
         Scenario scenario = options.scenario();
         Streams streams = new Streams(options.seed(), 0);
         Day day = scenario.day(streams);
         List<RecordedTraffic.Call> calls = new ArrayList<>();
         new Model(day, streams, streams, new LocalSoftswitches(PlannerController.with(Figures.USUAL)), calls::add)
                 .play();
-        Files.createDirectories(out);
+        Files.createDirectories(folder);
         for (int place = 0; place < day.fleet().exchanges(); place++) {
-            Path file = out.resolve("traffic." + place);
+            Path file = folder.resolve("traffic." + place);
             try (TrafficWriter writer = new TrafficWriter(Files.newOutputStream(file), 0, place,
-                    day.fleet().exchanges(), day.classes().stream().map(Day.ClassOfCall::name).toList(), LONGEST)) {
+                    day.fleet().exchanges(), day.classes().stream().map(Day.ClassOfCall::name).toList(),
+                    MAX_FILE_BYTES)) {
                 for (RecordedTraffic.Call call : calls) {
                     if (call.origin() == place) {
-                        Day.ClassOfCall kind = day.classes().get(call.callClass());
-                        writer.write(new RecordedCall(call.at(), call.callClass(), call.destination(), kind.width(),
-                                Math.round(day.callers().patience() * kind.deadline()), false, false, false,
-                                call.number()));
+                        Day.ClassOfCall callClass = day.classes().get(call.callClass());
+                        writer.write(new RecordedCall(call.at(), call.callClass(), call.destination(),
+                                callClass.width(), Math.round(day.callers().patience() * callClass.deadline()),
+                                false, false, false, call.number()));
                     }
                 }
             }
--- a/src/main/java/wingspread/cli/LabReport.java
+++ b/src/main/java/wingspread/cli/LabReport.java
@@ -13,9 +13,9 @@
 import wingspread.lab.compare.Comparison;
 import wingspread.lab.report.Report;
 
-/** Compares, and writes a page with plots. */
+/** Compares two variants as {@link LabCompare} does and writes an HTML page with plots. */
 @Command(name = "report", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Compares like 'compare' and writes one page of HTML with plots; the exit codes are the same.")
+        description = "Compares as 'lab compare' does and writes an HTML page with plots; the exit codes are the same.")
 final class LabReport implements Callable<Integer> {
     @Mixin
     private LabOptions options;
@@ -24,7 +24,7 @@
     private CompareOptions compare;
 
     @Option(names = "--out", defaultValue = "report.html", paramLabel = "FILE",
-            description = "where the page goes (default: report.html)")
+            description = "file to write the page to (default: report.html)")
     private Path out;
 
     @Spec
@@ -32,16 +32,16 @@
 
     @Override
     public Integer call() throws IOException {
-        new QuietModules().apply();
-        // The plots are drawn without a screen.
+        new LogSilencer().apply();
+        // Draws the plots without a display.
         System.setProperty("java.awt.headless", "true");
         try (Experiment experiment = new Experiment(options.scenario(), options.seed(), options.threads())) {
             Report report = new Report(compare.nameA(), compare.nameB());
-            Comparison found = compare.compare(experiment, spec.commandLine(), report::add);
-            Files.writeString(out, report.page(found));
-            spec.commandLine().getOut().println(found.sentence() + " " + out);
+            Comparison comparison = compare.compare(experiment, spec.commandLine(), report::add);
+            Files.writeString(out, report.page(comparison));
+            spec.commandLine().getOut().println(comparison.sentence() + " " + out);
             spec.commandLine().getOut().flush();
-            return LabCompare.exitCode(found.verdict());
+            return LabCompare.exitCode(comparison.verdict());
         }
     }
 }
--- a/src/main/java/wingspread/cli/LabRun.java
+++ b/src/main/java/wingspread/cli/LabRun.java
@@ -19,16 +19,17 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.lab.world.Model;
 
-/** Plays a scenario and prints what came of it for each class. */
+/** Simulates a scenario and prints the service of each class of call. */
 @Command(name = "run", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Plays a scenario and prints the service of each class.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:played, all rules kept", "1:a rule was broken",
-            "2:the command line or a file cannot be taken"})
+        description = "Simulates a scenario and prints the service of each class of call.",
+        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:all rules were kept", "1:a rule was broken",
+            "2:the command line or a file is invalid"})
 final class LabRun implements Callable<Integer> {
     @Mixin
     private LabOptions options;
 
-    @Option(names = "--replications", defaultValue = "8", description = "days that are drawn (default: 8)")
+    @Option(names = "--replications", defaultValue = "8",
+            description = "number of random days to simulate (default: 8)")
     private int replications;
 
     @Spec
@@ -36,14 +37,14 @@
 
     @Override
     public Integer call() {
-        new QuietModules().apply();
+        new LogSilencer().apply();
         Scenario scenario = options.scenario();
         PrintWriter out = spec.commandLine().getOut();
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (Experiment experiment = new Experiment(scenario, options.seed(), options.threads());
                 SoftswitchPool pool = SoftswitchPool.local(PlannerController.with(Figures.USUAL))) {
-            int days = options.atLeastOne("--replications", replications);
-            Progress progress = Progress.on(spec.commandLine().getErr());
+            int days = options.requirePositive("--replications", replications);
+            Progress progress = Progress.forConsole(spec.commandLine().getErr());
             List<Model.Run> runs = experiment.each(0, days, n -> {
                 Model.Run run = pool.with(s -> experiment.play(n, s, 0));
                 progress.step(days, "days");
@@ -52,7 +53,7 @@
             progress.end();
             out.printf(Locale.ROOT, "%s: %s%n", scenario.name(), scenario.about());
             print(out, runs);
-            double seconds = (System.nanoTime() - before) / 1e9;
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
             long calls = runs.stream().mapToLong(Model.Run::calls).sum();
             out.printf(Locale.ROOT, "%d replications, %d calls, %.1f events a call, %.1f s, %.0f calls a second%n",
                     runs.size(), calls, runs.stream().mapToLong(Model.Run::happened).sum() / (double) calls, seconds,
@@ -62,14 +63,14 @@
         }
     }
 
-    /** Service by class, and every broken rule. */
+    /** Prints the service by class and in total, and each breach of a rule. */
     static void print(PrintWriter out, List<Model.Run> runs) {
-        List<Service> all = runs.stream().map(Model.Run::service).toList();
+        List<Service> services = runs.stream().map(Model.Run::service).toList();
         out.printf(Locale.ROOT, "%-18s %8s %8s %8s %8s %8s %9s %9s%n", "class", "service", "calls", "in time", "late",
                 "cut", "median ms", "p99 ms");
-        for (int i = 0; i < all.get(0).classes().size(); i++) {
-            int which = i;
-            List<Service.ByClass> rows = all.stream().map(s -> s.classes().get(which)).toList();
+        for (int i = 0; i < services.get(0).classes().size(); i++) {
+            int classIndex = i;
+            List<Service.ByClass> rows = services.stream().map(s -> s.classes().get(classIndex)).toList();
             out.printf(Locale.ROOT, "%-18s %8.3f %8d %8d %8d %8d %9.0f %9.0f%n", rows.get(0).name(),
                     mean(rows.stream().mapToDouble(Service.ByClass::service).toArray()),
                     rows.stream().mapToLong(Service.ByClass::calls).sum(),
@@ -81,16 +82,16 @@
         }
         out.printf(Locale.ROOT,
                 "service %.3f (whole %.3f, worst 10 s %.3f, worst class %.3f; less %.3f late, %.3f waste)%n",
-                mean(all.stream().mapToDouble(Service::result).toArray()),
-                mean(all.stream().mapToDouble(Service::whole).toArray()),
-                mean(all.stream().mapToDouble(Service::worstWindow).toArray()),
-                mean(all.stream().mapToDouble(Service::worstClass).toArray()),
-                mean(all.stream().mapToDouble(Service::lateFail).toArray()),
-                mean(all.stream().mapToDouble(Service::waste).toArray()));
+                mean(services.stream().mapToDouble(Service::result).toArray()),
+                mean(services.stream().mapToDouble(Service::whole).toArray()),
+                mean(services.stream().mapToDouble(Service::worstWindow).toArray()),
+                mean(services.stream().mapToDouble(Service::worstClass).toArray()),
+                mean(services.stream().mapToDouble(Service::lateFail).toArray()),
+                mean(services.stream().mapToDouble(Service::waste).toArray()));
         out.printf(Locale.ROOT, "redials %d, given up %d, over a tandem %d%n",
-                all.stream().mapToLong(s -> s.counts().redials()).sum(),
-                all.stream().mapToLong(s -> s.counts().gaveUp()).sum(),
-                all.stream().mapToLong(s -> s.counts().overTandem()).sum());
+                services.stream().mapToLong(s -> s.counts().redials()).sum(),
+                services.stream().mapToLong(s -> s.counts().gaveUp()).sum(),
+                services.stream().mapToLong(s -> s.counts().overTandem()).sum());
         for (int i = 0; i < runs.size(); i++) {
             for (Breach breach : runs.get(i).breaches()) {
                 out.printf(Locale.ROOT, "BROKEN in replication %d: %s%n", i, breach);
--- a/src/main/java/wingspread/cli/Progress.java
+++ b/src/main/java/wingspread/cli/Progress.java
@@ -3,38 +3,43 @@
 import java.io.PrintWriter;
 import java.util.Locale;
 
-/** A bar on the error output, where somebody sits before a terminal. Runs on several threads count on it. */
+/** A progress bar on the error output, shown only on a terminal. Safe for use by several threads. */
 final class Progress {
     private static final int WIDTH = 30;
 
     private final PrintWriter err;
-    private final boolean shown;
+    private final boolean visible;
     private int done;
 
-    Progress(PrintWriter err, boolean shown) {
+    Progress(PrintWriter err, boolean visible) {
         this.err = err;
-        this.shown = shown;
+        this.visible = visible;
     }
 
-    /** A bar for a terminal, nothing for a file or a pipe. */
-    static Progress on(PrintWriter err) {
+    /** Returns a progress bar that is shown if the program has a console, and not for a file or a pipe. */
+    static Progress forConsole(PrintWriter err) {
         return new Progress(err, System.console() != null);
     }
 
-    /** One more of so many is done. */
-    synchronized void step(int of, String what) {
+    /**
+     * Counts one completed step and redraws the bar.
+     *
+     * @param max upper bound of the number of steps
+     * @param unit what the steps are, in the plural
+     */
+    synchronized void step(int max, String unit) {
         done++;
-        if (shown) {
-            int full = (int) Math.min(WIDTH, (long) WIDTH * done / Math.max(1, of));
-            err.printf(Locale.ROOT, "\r[%s%s] %d of at most %d %s", "#".repeat(full), ".".repeat(WIDTH - full), done,
-                    of, what);
+        if (visible) {
+            int filled = (int) Math.min(WIDTH, (long) WIDTH * done / Math.max(1, max));
+            err.printf(Locale.ROOT, "\r[%s%s] %d of at most %d %s", "#".repeat(filled), ".".repeat(WIDTH - filled),
+                    done, max, unit);
             err.flush();
         }
     }
 
-    /** Leaves the line as it stands. */
+    /** Ends the line and leaves the bar on it as last drawn. */
     synchronized void end() {
-        if (shown) {
+        if (visible) {
             err.println();
             err.flush();
         }
--- a/src/main/java/wingspread/cli/TestbedCommand.java
+++ b/src/main/java/wingspread/cli/TestbedCommand.java
@@ -5,9 +5,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The testbed: real softswitch processes on the loopback, in the laboratory's model. */
+/** The commands of the testbed, which runs real softswitch processes on the loopback interface. */
 @Command(name = "testbed", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Plays scenarios of the laboratory with real softswitch processes on the loopback.",
+        description = "Runs scenarios of the laboratory with real softswitch processes on the loopback interface.",
         subcommands = {TestbedRun.class, TestbedSoak.class, TestbedTimeline.class})
 final class TestbedCommand implements Runnable {
     @Spec
@@ -15,6 +15,7 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "testbed: no command given; --help lists them");
+        throw new CommandLine.ParameterException(spec.commandLine(),
+                "testbed: missing command; --help lists the commands");
     }
 }
--- a/src/main/java/wingspread/cli/TestbedRun.java
+++ b/src/main/java/wingspread/cli/TestbedRun.java
@@ -22,39 +22,39 @@
 import wingspread.testbed.Testbed;
 import wingspread.toml.Duration;
 
-/** Plays one day of a scenario with real softswitch processes. */
+/** Runs one day of a scenario with real softswitch processes. */
 @Command(name = "run", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Plays one day of a scenario, in the wall's time, with a real softswitch process for each"
-                + " exchange, and prints the service of each class.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:played, all rules kept", "1:a rule was broken",
-            "2:the command line or a file cannot be taken"})
+        description = "Runs one day of a scenario in real time, with a softswitch process for each"
+                + " exchange, and prints the service of each class of call.",
+        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:all rules were kept", "1:a rule was broken",
+            "2:the command line or a file is invalid"})
 final class TestbedRun implements Callable<Integer> {
-    private static final Pattern FAULT = Pattern.compile("(kill|reset|stall):([0-9]{1,3})@(.+)");
+    private static final Pattern FAULT_PATTERN = Pattern.compile("(kill|reset|stall):([0-9]{1,3})@(.+)");
 
-    @Parameters(paramLabel = "SCENARIO", description = "a shipped scenario ('lab list' has them) or a TOML file")
+    @Parameters(paramLabel = "SCENARIO", description = "a built-in scenario (see 'lab list') or a TOML file")
     private String scenario;
 
-    @Option(names = "--set", paramLabel = "TOML", description = "one more line of TOML over the scenario")
-    private String[] more = new String[0];
+    @Option(names = "--set", paramLabel = "TOML", description = "a line of TOML that overrides the scenario")
+    private String[] overrides = new String[0];
 
-    @Option(names = "--seed", defaultValue = "1", description = "where the day comes from (default: 1)")
+    @Option(names = "--seed", defaultValue = "1", description = "seed of the random numbers (default: 1)")
     private long seed;
 
-    @Option(names = "--storm", paramLabel = "STORM", description = "the softswitches damp storms by these figures,"
-            + " whether or not the file is on: usual, a file as deploy/storm.toml, or damping.method=\"gap\"")
+    @Option(names = "--storm", paramLabel = "STORM", description = "storm control of the softswitches, also if the"
+            + " file does not enable it: usual, a file such as deploy/storm.toml, or damping.method=\"gap\"")
     private String storm;
 
     @Option(names = "--connections", defaultValue = "8",
             description = "connections that the callers of each softswitch share (default: 8)")
     private int connections;
 
-    @Option(names = "--fault", paramLabel = "KIND:PLACE@TIME", split = ",", description = "strikes the softswitch of a"
-            + " place: kill (started again after half a second), reset (of its connections to exchanges) or stall (its"
-            + " callers read nothing for two seconds), as in kill:0@12s")
+    @Option(names = "--fault", paramLabel = "KIND:PLACE@TIME", split = ",", description = "fault to inject into the"
+            + " softswitch: kill (restarted after 0.5 s), reset (of its connections to exchanges) or stall (its callers"
+            + " do not read for 2 s), as in kill:0@12s")
     private List<String> faults = new ArrayList<>();
 
     @Option(names = "--folder", paramLabel = "DIR",
-            description = "where configurations and logs go (default: a new one among temporary files)")
+            description = "directory for configurations and logs (default: a new temporary directory)")
     private Path folder;
 
     @Spec
@@ -62,23 +62,23 @@
 
     @Override
     public Integer call() throws IOException {
-        new QuietModules().apply();
-        Scenario read = Scenario.named(scenario);
-        Scenario whole = more.length == 0 ? read : read.with(String.join("\n", more));
+        new LogSilencer().apply();
+        Scenario base = Scenario.named(scenario);
+        Scenario overridden = overrides.length == 0 ? base : base.with(String.join("\n", overrides));
         if (connections < 1) {
-            throw new CommandLine.ParameterException(spec.commandLine(), "--connections: 1 or more was expected");
+            throw new CommandLine.ParameterException(spec.commandLine(), "--connections: expected 1 or more");
         }
-        Path where = folder == null ? Files.createTempDirectory("testbed") : Files.createDirectories(folder);
-        Testbed testbed = new Testbed(whole, seed, where, storm == null ? null : StormConfig.turnedOn(storm),
+        Path directory = folder == null ? Files.createTempDirectory("testbed") : Files.createDirectories(folder);
+        Testbed testbed = new Testbed(overridden, seed, directory, storm == null ? null : StormConfig.turnedOn(storm),
                 connections, faults.stream().map(this::fault).toList());
-        return TestbedTable.print(spec.commandLine().getOut(), whole, testbed.play(), where);
+        return TestbedTable.print(spec.commandLine().getOut(), overridden, testbed.play(), directory);
     }
 
     private Fault fault(String text) {
-        Matcher parts = FAULT.matcher(text);
+        Matcher parts = FAULT_PATTERN.matcher(text);
         if (!parts.matches()) {
             throw new CommandLine.ParameterException(spec.commandLine(), "--fault " + text
-                    + ": kill, reset or stall, a place and a time were expected, as in kill:0@12s");
+                    + ": expected kill, reset or stall, the softswitch's number and a time, as in kill:0@12s");
         }
         return new Fault(Kind.valueOf(parts.group(1).toUpperCase(Locale.ROOT)), Integer.parseInt(parts.group(2)),
                 Duration.parse(parts.group(3)).micros());
--- a/src/main/java/wingspread/cli/TestbedTable.java
+++ b/src/main/java/wingspread/cli/TestbedTable.java
@@ -7,11 +7,16 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.testbed.Testbed;
 
-/** What a run of the testbed came to. */
+/** Prints the result of a run of the testbed. */
 final class TestbedTable {
     private TestbedTable() { }
 
-    /** Prints it; the exit code, 1 where a rule was broken. */
+    /**
+     * Prints the result.
+     *
+     * @param folder the directory of the softswitches' logs
+     * @return the exit code: 1 if a rule was broken, else 0
+     */
     static int print(PrintWriter out, Scenario scenario, Testbed.Result result, Path folder) {
         out.printf(Locale.ROOT, "%s: %s%n", scenario.name(), scenario.about());
         LabRun.print(out, List.of(result.run()));
--- a/src/main/java/wingspread/cli/TestbedTimeline.java
+++ b/src/main/java/wingspread/cli/TestbedTimeline.java
@@ -9,15 +9,15 @@
 import picocli.CommandLine.Spec;
 import wingspread.testbed.soak.Timeline;
 
-/** Shows one call of a trial through all parties. */
+/** Prints the events of one call of a soak trial, as seen by all parties, in the order of time. */
 @Command(name = "timeline", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Merges what the stand-ins of a trial saw of a call with what the softswitches logged of it.",
-        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:shown", "2:there is no such trial or call"})
+        description = "Merges the stand-ins' records of one call of a trial with the softswitches' log lines about it.",
+        exitCodeListHeading = "Exit codes:%n", exitCodeList = {"0:the timeline was printed", "2:no such trial or call"})
 final class TestbedTimeline implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "FOLDER", description = "of a trial, as 'testbed soak' has left it")
+    @Parameters(index = "0", paramLabel = "FOLDER", description = "directory of a trial, as written by 'testbed soak'")
     private Path folder;
 
-    @Parameters(index = "1", paramLabel = "CALL", description = "the call's id")
+    @Parameters(index = "1", paramLabel = "CALL", description = "id of the call")
     private String call;
 
     @Spec
--- a/src/main/java/wingspread/cli/TryCommand.java
+++ b/src/main/java/wingspread/cli/TryCommand.java
@@ -11,12 +11,12 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.testbed.Testbed;
 
-/** A first look: a few real softswitches, stand-ins round them, ten seconds of calls. */
+/** A demonstration that needs no set-up: three softswitch processes with stand-ins and ten seconds of calls. */
 @Command(name = "try", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        description = "Starts three softswitches among stand-ins on the loopback, plays ten seconds of calls and"
-                + " prints what came of them. Needs no file and no environment.")
+        description = "Runs three softswitch processes with stand-ins on the loopback interface for ten seconds of"
+                + " calls and prints the results. Needs no files and no environment variables.")
 final class TryCommand implements Callable<Integer> {
-    private static final String SMALL = """
+    private static final String SCENARIO_TOML = """
             about = "three softswitches on this machine, ten seconds of calls"
             length = "10s"
             fleet = {exchanges = 3, erlangs = 60}
@@ -28,8 +28,8 @@
 
     @Override
     public Integer call() throws IOException {
-        new QuietModules().apply();
-        Scenario scenario = Scenario.parse(SMALL, "try");
+        new LogSilencer().apply();
+        Scenario scenario = Scenario.parse(SCENARIO_TOML, "try");
         Path folder = Files.createTempDirectory("try");
         return TestbedTable.print(spec.commandLine().getOut(), scenario,
                 new Testbed(scenario, 1, folder, null, 2, List.of()).play(), folder);
--- a/src/test/java/wingspread/cli/CliTest.java
+++ b/src/test/java/wingspread/cli/CliTest.java
@@ -20,7 +20,7 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.lab.sim.Streams;
 
-/** The command line: what it prints and how it ends. */
+/** Tests the output and the exit codes of the commands. */
 class CliTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -32,16 +32,16 @@
         return line.execute(args);
     }
 
-    private void complains(String about, String... args) {
-        assertEquals(Cli.USAGE, run(args));
-        String said = err.toString();
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.startsWith("wingspread: ") && said.contains(about), said);
+    private void assertUsageError(String expectedText, String... args) {
+        assertEquals(Cli.USAGE_ERROR, run(args));
+        String message = err.toString();
+        assertEquals(1, message.lines().count(), message);
+        assertTrue(message.startsWith("wingspread: ") && message.contains(expectedText), message);
         assertEquals("", out.toString());
     }
 
     @Test
-    void runPrintsALineForEachClassAndEndsWithZero() {
+    void runPrintsLineForEachClassAndExitsWithZero() {
         assertEquals(0, run("lab", "run", "--replications", "1", "--set", "length = '10s'"));
         assertTrue(out.toString().contains("token-balance"), out.toString());
         assertTrue(out.toString().contains("worst 10 s"), out.toString());
@@ -49,39 +49,39 @@
     }
 
     @Test
-    void compareEndsWithOneSentenceAndItsExitCode(@TempDir Path folder) throws IOException {
+    void comparePrintsSentenceLastAndExitsWithCodeOfVerdict(@TempDir Path folder) throws IOException {
         Path json = folder.resolve("found.json");
         assertEquals(4, run("lab", "compare", "--set", "length = '20s'", "--b", "window-max=2,window-gain=0",
                 "--pilot", "8", "--budget", "32", "--json", json.toString()));
-        String last = out.toString().lines().reduce((one, next) -> next).orElse("");
+        String last = out.toString().lines().reduce((previous, next) -> next).orElse("");
         assertTrue(last.startsWith("B gives worse service than A: -"), out.toString());
         assertTrue(Files.readString(json).contains("\"verdict\" : \"WORSE\""));
     }
 
     @Test
-    void reportWritesOnePageWithEverythingInIt(@TempDir Path folder) throws IOException {
+    void reportWritesSelfContainedPage(@TempDir Path folder) throws IOException {
         Path page = folder.resolve("report.html");
         assertEquals(0, run("lab", "report", "--set", "length = '10s'", "--b", "window-start=2", "--pilot", "2",
                 "--budget", "3", "--out", page.toString()));
         String html = Files.readString(page);
         assertTrue(html.contains("No difference found between A and B"), "the sentence is missing");
         assertTrue(html.contains("token-balance"), "the classes are missing");
-        // Differences, service, three classes' delays, redials, circuits, set-ups out.
+        // Plots of differences, service, delays of three classes, redials, circuits and outgoing set-ups.
         assertEquals(8, html.split("src=\"data:image/png;base64,", -1).length - 1);
         assertEquals(0, html.split("src=\"http", -1).length - 1);
         assertTrue(out.toString().contains(page.toString()), out.toString());
     }
 
     @Test
-    void aFileThatCannotBeWrittenIsNamed() {
-        assertEquals(Cli.USAGE, run("lab", "compare", "--set", "length = '10s'", "--pilot", "2", "--budget", "2",
+    void namesFileThatCannotBeWritten() {
+        assertEquals(Cli.USAGE_ERROR, run("lab", "compare", "--set", "length = '10s'", "--pilot", "2", "--budget", "2",
                 "--json", "no-such-folder/found.json"));
         assertTrue(err.toString().contains("no-such-folder"), err.toString());
         assertEquals(1, err.toString().lines().count());
     }
 
     @Test
-    void aDayThatWasRecordedIsPlayedCallForCall(@TempDir Path folder) {
+    void replaysEveryCallOfRecordedDay(@TempDir Path folder) {
         assertEquals(0, run("lab", "record", "--out", folder.toString(), "--set", "length = '8s'"));
         int recorded = out.toString().lines().mapToInt(line -> Integer.parseInt(line.replaceAll(".*, (\\d+) calls.*",
                 "$1"))).sum();
@@ -96,36 +96,36 @@
     }
 
     @Test
-    void whoeverPlaysAFileThatWasCutOffIsTold(@TempDir Path folder) throws IOException {
+    void warnsAboutTruncatedRecording(@TempDir Path folder) throws IOException {
         assertEquals(0, run("lab", "record", "--out", folder.toString(), "--set", "length = '8s'"));
-        Path cut = folder.resolve("cut");
-        Files.write(cut, Arrays.copyOf(Files.readAllBytes(folder.resolve("traffic.0")), 400));
-        assertEquals(0, run("lab", "run", "--replications", "1", "--recorded", cut.toString()));
+        Path truncated = folder.resolve("cut");
+        Files.write(truncated, Arrays.copyOf(Files.readAllBytes(folder.resolve("traffic.0")), 400));
+        assertEquals(0, run("lab", "run", "--replications", "1", "--recorded", truncated.toString()));
         assertTrue(err.toString().matches("wingspread: .*cut: cut off after \\d+ calls.*\\R"), err.toString());
     }
 
     @Test
-    void countsBelowOneAreTurnedAway() {
-        complains("--replications = 0", "lab", "run", "--replications", "0");
+    void rejectsReplicationsBelowOne() {
+        assertUsageError("--replications = 0", "lab", "run", "--replications", "0");
     }
 
     @Test
-    void aCalibrationOfNothingIsTurnedAway() {
-        complains("--comparisons = 0", "lab", "calibrate", "--comparisons", "0");
+    void rejectsCalibrationWithoutComparisons() {
+        assertUsageError("--comparisons = 0", "lab", "calibrate", "--comparisons", "0");
     }
 
     @Test
-    void aGateInAnotherVersionIsTurnedAway() {
-        complains("a version by its jar", "lab", "compare", "--storm-b", "usual", "--jar-b", "other.jar");
+    void rejectsStormParametersWithJarOfAnotherVersion() {
+        assertUsageError("a jar and storm parameters", "lab", "compare", "--storm-b", "usual", "--jar-b", "other.jar");
     }
 
     @Test
-    void figuresOfAStormThatContradictEachOtherAreTurnedAway() {
-        complains("end-ratio 0.9 is not below", "lab", "compare", "--storm-b", "detection.end-ratio=0.9");
+    void rejectsContradictoryStormParameters() {
+        assertUsageError("end-ratio 0.9 is not below", "lab", "compare", "--storm-b", "detection.end-ratio=0.9");
     }
 
     @Test
-    void anOutageIsPlayedWithoutAndWithStormsDamped() {
+    void outageIsSimulatedWithAndWithoutStormControl() {
         assertEquals(0, run("lab", "outage", "--scenario", "circuits-cut", "--set", "length = '34s'", "--replications",
                 "2"));
         assertTrue(out.toString().contains("damped: redials are back after"), out.toString());
@@ -133,17 +133,17 @@
     }
 
     @Test
-    void anOutageWithoutATroubleIsTurnedAway() {
-        complains("usual: has no trouble", "lab", "outage");
+    void rejectsOutageOfScenarioWithoutTrouble() {
+        assertUsageError("usual: scenario has no [[trouble]] entries", "lab", "outage");
     }
 
     @Test
-    void anUnknownFigureIsNamed() {
-        complains("nope=1: there is no figure 'nope'", "lab", "compare", "--b", "nope=1");
+    void namesUnknownParameter() {
+        assertUsageError("nope=1: there is no figure 'nope'", "lab", "compare", "--b", "nope=1");
     }
 
     @Test
-    void whatIsListedCanBeGivenAgain(@TempDir Path folder) throws IOException {
+    void acceptsListedScenarioAndParametersAsInput(@TempDir Path folder) throws IOException {
         assertEquals(0, run("lab", "list"));
         assertEquals(Scenario.SHIPPED, out.toString().lines().map(line -> line.split(" ")[0]).toList());
         out.getBuffer().setLength(0);
@@ -159,47 +159,47 @@
     }
 
     @Test
-    void anUnknownScenarioIsNotListed() {
-        complains("surge-slow-late", "lab", "list", "--scenario", "nope");
+    void listRejectsUnknownScenarioAndNamesKnownOnes() {
+        assertUsageError("surge-slow-late", "lab", "list", "--scenario", "nope");
     }
 
     @Test
-    void aPilotBeyondTheBudgetIsTurnedAway() {
-        complains("pilot 8", "lab", "compare", "--pilot", "8", "--budget", "4");
+    void rejectsPilotLargerThanBudget() {
+        assertUsageError("pilot 8", "lab", "compare", "--pilot", "8", "--budget", "4");
     }
 
     @Test
-    void whatCannotBeTakenIsOneLineAndExitCodeTwo() {
-        complains("no-such", "lab", "run", "--scenario", "no-such");
+    void reportsUnknownScenarioInOneLine() {
+        assertUsageError("no-such", "lab", "run", "--scenario", "no-such");
     }
 
     @Test
-    void anUnknownSettingIsNamed() {
-        complains("levle", "lab", "run", "--set", "load.levle = 1");
+    void namesUnknownScenarioKey() {
+        assertUsageError("levle", "lab", "run", "--set", "load.levle = 1");
     }
 
     @Test
-    void aBarIsDrawnForATerminalAlone() {
-        Progress shown = new Progress(new PrintWriter(err), true);
-        shown.step(2, "days");
+    void drawsProgressBarOnlyOnTerminal() {
+        Progress visible = new Progress(new PrintWriter(err), true);
+        visible.step(2, "days");
         assertEquals("\r[###############...............] 1 of at most 2 days", err.toString());
-        StringWriter nothing = new StringWriter();
-        new Progress(new PrintWriter(nothing), false).step(2, "days");
-        assertEquals("", nothing.toString());
+        StringWriter hidden = new StringWriter();
+        new Progress(new PrintWriter(hidden), false).step(2, "days");
+        assertEquals("", hidden.toString());
     }
 
     @Test
-    void anUnknownOptionIsNamed() {
-        complains("--bogus", "lab", "run", "--bogus");
+    void namesUnknownOption() {
+        assertUsageError("--bogus", "lab", "run", "--bogus");
     }
 
     @Test
-    void withoutACommandItSaysSo() {
-        complains("--help");
+    void reportsMissingCommand() {
+        assertUsageError("--help");
     }
 
     @Test
-    void helpAndVersionGoToTheOutput() {
+    void printsHelpAndVersionOnStandardOutput() {
         assertEquals(0, run("lab", "run", "--help"));
         assertTrue(out.toString().contains("--replications"), out.toString());
         assertEquals(0, run("--version"));
--- a/src/test/java/wingspread/cli/TestbedCommandsTest.java
+++ b/src/test/java/wingspread/cli/TestbedCommandsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import picocli.CommandLine;
 
-/** The commands of the soak: what they turn away, and one call's way through all parties. */
+/** Tests the errors of the testbed's commands and the timeline of a call. */
 class TestbedCommandsTest {
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
@@ -32,7 +32,7 @@
         return line.execute(args);
     }
 
-    static Stream<Arguments> bad() {
+    static Stream<Arguments> invalidArguments() {
         return Stream.of(Arguments.of("--seeds", List.of("soak", "--seeds", "0")),
                 Arguments.of("--seconds", List.of("soak", "--seconds", "1")),
                 Arguments.of("--side-by-side", List.of("soak", "--side-by-side", "0")),
@@ -42,15 +42,15 @@
     }
 
     @ParameterizedTest
-    @MethodSource("bad")
-    void whatCannotBeTakenIsOneLineAndExitCodeTwo(String about, List<String> args) {
-        assertEquals(Cli.USAGE, run(Stream.concat(Stream.of("testbed"), args.stream()).toArray(String[]::new)));
+    @MethodSource("invalidArguments")
+    void reportsInvalidArgumentsInOneLineWithExitCodeTwo(String expectedText, List<String> args) {
+        assertEquals(Cli.USAGE_ERROR, run(Stream.concat(Stream.of("testbed"), args.stream()).toArray(String[]::new)));
         assertEquals(1, err.toString().lines().count(), err.toString());
-        assertTrue(err.toString().contains(about), err.toString());
+        assertTrue(err.toString().contains(expectedText), err.toString());
     }
 
     @Test
-    void aTimelineMergesTheStandInsRecordWithTheLogsOfAllSoftswitches(@TempDir Path folder) throws IOException {
+    void timelineMergesStandInRecordsWithSoftswitchLogs(@TempDir Path folder) throws IOException {
         LocalDateTime day = LocalDateTime.of(2026, 3, 4, 12, 0, 0);
         long start = day.atZone(ZoneId.systemDefault()).toEpochSecond() * 1_000_000;
         Files.write(folder.resolve("record.tsv"), List.of(
@@ -67,6 +67,6 @@
         assertEquals(List.of("0.000  fault              vanish:1@0ms for 5ms", "0.100  callers of n0      offers",
                 "0.500  n0 log             DEBUG call - abc taken", "0.900  s-1                INVITE"),
                 out.toString().lines().map(String::strip).toList());
-        assertEquals(Cli.USAGE, run("testbed", "timeline", folder.toString(), "unheard-of"));
+        assertEquals(Cli.USAGE_ERROR, run("testbed", "timeline", folder.toString(), "unheard-of"));
     }
 }
