--- a/src/main/java/wingspread/cli/LabList.java
+++ b/src/main/java/wingspread/cli/LabList.java
@@ -49,7 +49,7 @@
         out.flush();
     }
 
-    /** Formats a value as a setting has it: a time in milliseconds with its unit, others without one. */
+    /** Formats a value as it is written in a setting: a time in milliseconds with its unit, others without one. */
     private static String value(Figure parameter, double value) {
         return parameter.unit() == Unit.MICROSECONDS
                 ? String.format(Locale.ROOT, "%sms", number(value / MICROS_PER_MILLI))
--- a/src/main/java/wingspread/wirehost/Instance.java
+++ b/src/main/java/wingspread/wirehost/Instance.java
@@ -18,7 +18,7 @@
         this.reportFields = reportFields;
     }
 
-    /** Sets the call control, which can only be created after this host of it. */
+    /** Sets the call control, whose constructor takes this host. */
     void attach(CallControl newControl) {
         control = newControl;
     }
