--- a/src/main/java/wingspread/control/CallControl.java
+++ b/src/main/java/wingspread/control/CallControl.java
@@ -3,143 +3,225 @@
 import java.util.List;
 
 /**
- * The interface between a softswitch and the decisions of its call control: settings, events, actions and
- * types.
+ * The interface between a softswitch and its call control, which decides where calls go: the settings, the
+ * events, the actions and their types.
  *
- * <p>A host creates one control per exchange, feeds it events in the order in which they happen and carries
- * out the actions that the control asks of it. All times are microseconds on the host's clock;
- * deadlines are absolute on it. Addresses, call ids and timer tokens are opaque numbers. A control is
- * confined to one thread.
+ * <p>A host creates one control per exchange, passes it events in the order in which they occur and carries
+ * out the actions that the control requests through {@link Host}. All times are microseconds on the host's
+ * clock and all deadlines are absolute times on it. Addresses, call ids and timer tokens are opaque numbers.
+ * A control is confined to one thread.
  */
 public interface CallControl {
 
-    /** A call has come in. The control now owes exactly one final answer, or a set-up that stands. */
+    /**
+     * Handles an incoming call. The control must give the call exactly one final answer
+     * ({@link Host#refuse} or {@link Host#fail}), unless an attempt establishes it or it is dropped.
+     */
     void onCall(long now, Call call);
 
-    /** The attempt has brought the call to stand; it keeps its circuits until its outcome. */
-    void onStood(long now, long call, int attempt, long exchange, long took);
+    /**
+     * Handles the establishment of a call by an attempt. The call keeps its circuits until the attempt's
+     * outcome.
+     *
+     * @param attempt  the number of the attempt within the call, from 0
+     * @param exchange the address that the attempt was sent to
+     * @param elapsed  the time from sending the set-up to its answer
+     */
+    void onStood(long now, long call, int attempt, long exchange, long elapsed);
 
-    /** The result of an attempt; each attempt gets one. */
+    /** Handles the result of an attempt; each attempt has exactly one. */
     void onOutcome(long now, Outcome outcome);
 
-    /** The caller has gone, or the answer is overdue: no answer is owed any longer. */
+    /**
+     * Handles a call that needs no final answer any longer, because the caller has abandoned it or the host
+     * has answered it at its deadline.
+     */
     void onDropped(long now, long call);
 
-    /** News of the exchanges. */
+    /** Handles an update of the list of exchanges, or the failure to obtain it. */
     void onExchangeList(long now, ListKind kind, List<Exchange> entries);
 
-    /** The answer to a probe, or unasked news of the free circuits toward an exchange. */
-    void onReport(long now, long exchange, Status status, long took, Report report);
+    /**
+     * Handles the answer to a probe, or an unsolicited report of the free circuits toward an exchange.
+     *
+     * @param elapsed the time from the probe to its answer
+     */
+    void onReport(long now, long exchange, Status status, long elapsed, Report report);
 
-    /** A timer set through {@link Host#timer} has fallen due. */
+    /** Handles the expiry of a timer that was set through {@link Host#timer}. */
     void onTimer(long now, long token);
 
-    /** A message from another softswitch. */
+    /** Handles a message from another softswitch. */
     void onPeer(long now, int from, byte[] message);
 
-    /** What a control asks of its host. */
+    /** The actions that a control requests of its host. */
     interface Host {
-        /** Starts a set-up to the destination itself or a tandem, to be given up at a deadline. */
+        /**
+         * Sends a set-up to the destination or to a tandem.
+         *
+         * @param exchange the address of the exchange
+         * @param deadline the time at which the host abandons the attempt
+         */
         void send(long call, long exchange, long deadline);
 
-        /** Final answer: refused; {@code retryAfter} of 0 gives no guidance. */
+        /**
+         * Gives the final answer 'refused'.
+         *
+         * @param retryAfter the wait to advise to the caller, 0 for no advice
+         */
         void refuse(long call, long retryAfter);
 
-        /** Final answer: failed. */
+        /** Gives the final answer 'failed'. */
         void fail(long call);
 
-        /** Stops waiting for one attempt. */
+        /** Cancels one attempt. */
         void cancel(long call, int attempt);
 
-        /** Asks for {@link CallControl#onTimer} at a time. */
+        /** Schedules a call of {@link CallControl#onTimer} with the token. */
         void timer(long at, long token);
 
-        /** Asks an exchange for its health. */
+        /** Requests a health report from an exchange. */
         void probe(long exchange);
 
         /** Closes the idle connections to an exchange. */
         void closeIdle(long exchange);
 
-        /** Sends a message to one softswitch, or to all with {@link #ALL_PEERS}. */
+        /** Sends a message to one softswitch, or to all others with {@link #ALL_PEERS}. */
         void tell(int peer, byte[] message);
 
-        /** Writes one line for the people on call. */
+        /** Writes one line to the host's log. */
         void log(String line);
 
-        /** Subscribes to the list of exchanges, or ends the subscription. */
+        /** Starts or ends the subscription to the list of exchanges. */
         void subscribe(boolean on);
 
-        /** Asks once for the complete list of exchanges. */
+        /** Requests the complete list of exchanges once. */
         void fetchList();
 
-        /** The peer index that stands for every other softswitch. */
+        /** The peer index that addresses all other softswitches. */
         int ALL_PEERS = 0xffff;
     }
 
-    /** How exchanges are joined: by groups of circuits, or as pools of agents that all softswitches share. */
+    /**
+     * How exchanges are connected: by groups of circuits, or as pools of agents shared by all softswitches.
+     */
     enum Layout { NETWORK, SKILLS }
 
-    /** Where figures of a processor come from. */
+    /** How load reports of a processor are obtained. */
     enum Reports { PIGGYBACK, PULL, SILENT }
 
-    /** What a repeated set-up of a class may do. */
+    /** Whether a set-up of a class may be repeated. */
     enum Effect { SAFE, KEYED, UNSAFE }
 
-    /** The exchanges that recognise a repeat. */
+    /** The exchanges that recognize a repeated set-up. */
     enum RepeatGroup { ALL, ZONE, CELL }
 
-    /** Whether an exchange takes work. */
+    /** Whether an exchange accepts new calls. */
     enum Readiness { READY, DRAINING, GONE }
 
-    /** What a list of exchanges holds. */
+    /** What an update of the list of exchanges holds. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
     /** How an attempt or a probe ended. */
     enum Status { OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT }
 
-    /** Why a set-up was turned back. */
+    /** Why a set-up was rejected. */
     enum Cause { NONE, NO_CIRCUIT, TANDEM_BLOCKED, BEYOND_FULL, PROCESSOR_FULL, LINES_BUSY }
 
-    /** What the site states at the start; times in microseconds, 0 where the site says nothing. */
+    /**
+     * The configuration of the site; times in microseconds, 0 where the site does not state a value.
+     *
+     * @param ownPlace      the place of the own exchange in the network, -1 where there is none
+     * @param softswitches  the number of softswitches
+     * @param askForList    whether the control subscribes to the list of exchanges
+     * @param cancel        whether attempts may be cancelled
+     * @param retryAfter    whether refusals may advise a wait
+     * @param maxRetryAfter the longest wait that a refusal may advise
+     * @param maxAttempts   the maximum number of attempts per call
+     * @param release       the wait after a time-out, reset or cancellation before the next attempt of the
+     *                      call, in which its release takes effect
+     * @param resend        the interval after which an unanswered set-up is sent again, 0 for never
+     */
     record Settings(
             Layout layout, int ownPlace, int ownZone, int rank, int softswitches, List<CallClass> classes,
             boolean askForList, Reports reports, boolean probes, boolean peers, boolean cancel,
             boolean secondCopies, boolean advice, boolean retryAfter, long maxRetryAfter, int maxAttempts,
             long release, long resend, Obligations obligations) { }
 
-    /** The figures of the rules. */
+    /**
+     * The limits set by the rules of the platform; times in microseconds.
+     *
+     * @param coldShare    the share of its full capacity that an exchange has when it starts
+     * @param cold         how long after its start an exchange counts as cold
+     * @param fallMultiple the multiple of its capacity up to which a cold exchange bears load
+     * @param fall         the window over which that load is measured
+     */
     record Obligations(
             long answerGrace, long drainGrace, long askWithin, double coldShare, long cold,
             double fallMultiple, long fall) { }
 
-    /** A class of call; {@code pools} are those with its skill, empty where all have it. */
+    /**
+     * A class of call; times in microseconds.
+     *
+     * @param aim          the set-up time to aim for, counted from the first offer of the call
+     * @param deadline     the time that a caller waits for the final answer
+     * @param worth        the value of a call that is established within its aim
+     * @param lateWorth    the value of a call that is established later
+     * @param width        the number of circuits that a call occupies
+     * @param holding      the mean holding time
+     * @param repeatWindow how long a set-up may be repeated, for {@link Effect#KEYED}
+     * @param pools        the pools with the skill of the class, empty where all pools have it
+     */
     record CallClass(
             String name, long aim, long deadline, double worth, double lateWorth, double width, long holding,
             Effect effect, RepeatGroup group, long repeatWindow, List<Integer> pools) { }
 
-    /** One line of the list of exchanges; {@code upSince} of 0 is long past. */
+    /**
+     * One entry of the list of exchanges.
+     *
+     * @param place   the number of the exchange in the network, kept by a successor at another address
+     * @param upSince the start time of the exchange, 0 where it started long ago
+     */
     record Exchange(
             long address, int zone, int kind, int place, Readiness readiness, double weight,
             long upSince) { }
 
     /**
-     * A call; {@code via} is the place that a centre advises, or of the exchange that sent a call in transit,
-     * -1 for none.
+     * A call that a caller or an exchange offers.
+     *
+     * @param number      the number dialled, 0 where it is unknown
+     * @param deadline    the time by which the call must have its final answer
+     * @param destination the place of the destination exchange
+     * @param width       the number of circuits that the call occupies
+     * @param via         the place that a control centre advises as the tandem, or that a call in transit
+     *                    came from; -1 for none
+     * @param redial      whether the caller has dialled the number before
+     * @param transit     whether the call comes from another exchange, which uses this one as a tandem
      */
     record Call(
             long id, int callClass, long number, long deadline, int destination, double width, int via,
             boolean redial, boolean transit, boolean cut) { }
 
-    /** The result of an attempt; {@code waitNamed} is the wait that a full processor named, else 0. */
+    /**
+     * The result of an attempt.
+     *
+     * @param attempt    the number of the attempt within the call, from 0
+     * @param closed     whether the call has its final answer
+     * @param elapsed    the time since the set-up was sent, in microseconds
+     * @param retryAfter the wait that an overloaded processor requested, in microseconds, else 0
+     */
     record Outcome(
-            long call, int attempt, boolean closed, long exchange, long took, Status status, Cause cause,
-            long waitNamed, Report report) { }
+            long call, int attempt, boolean closed, long exchange, long elapsed, Status status, Cause cause,
+            long retryAfter, Report report) { }
 
-    /** Figures toward and of an exchange; NaN where not told. Rates per second, waits in milliseconds. */
+    /**
+     * A report of an exchange and of the group of circuits toward it. A value that was not reported is NaN.
+     * Rates are per second, waits in milliseconds.
+     */
     record Report(
             double free, double circuits, double outstanding, double backlog, double utilization,
             double waitMs, double maxRate, double reduce) {
-        /** A report that tells nothing. */
+        /** A report without any value. */
         public static final Report NOTHING = new Report(
                 Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN,
                 Double.NaN);
--- a/src/main/java/wingspread/control/Figures.java
+++ b/src/main/java/wingspread/control/Figures.java
@@ -46,36 +46,36 @@
      */
     final double reserveShare = number("reserve-share", 0.2, 0, 1);
     /** Tandems tried for one call at the most; each further one costs a third processor its work. */
-    final int tandems = whole("tandems", 2, 0, 5);
+    final int maxTandemsPerCall = whole("tandems", 2, 0, 5);
     /** Turn-backs in a row after which calls to a destination pause before they try tandems; the pause. */
-    final int turnBacks = whole("turn-backs", 2, 1, 1000);
-    final long alternateGap = time("alternate-gap", 250_000, 0, 60_000_000);
-    final long alternateGapMax = time("alternate-gap-max", 8_000_000, 0, 60_000_000);
+    final int crankbacksBeforePause = whole("turn-backs", 2, 1, 1000);
+    final long alternateGapMicros = time("alternate-gap", 250_000, 0, 60_000_000);
+    final long alternateGapMaxMicros = time("alternate-gap-max", 8_000_000, 0, 60_000_000);
 
     /**
      * The window over all sends to tandems from here, at most one and so a probability: its least, its gain
      * when a call stands over a tandem, and its loss when one does not, by the share of senders beyond few.
      * With very many senders it shrinks while fewer than one in five stands.
      */
-    final double roundMin = number("round-min", 0.1, 0, 1);
-    final double roundGain = number("round-gain", 0.5, 0, 1);
-    final double roundCut = number("round-cut", 0.12, 0, 1);
+    final double tandemProbabilityMin = number("round-min", 0.1, 0, 1);
+    final double tandemProbabilityGain = number("round-gain", 0.5, 0, 1);
+    final double tandemProbabilityCut = number("round-cut", 0.12, 0, 1);
 
     /**
      * Signalling faults, answered at once and holding nothing, after which a call is sent again: guards
      * against an exchange that answers most set-ups so, by chance. May hurt where it costs a busy one work.
      */
-    final int faultsRetried = whole("faults-retried", 5, 0, 6);
+    final int maxFaultRetries = whole("faults-retried", 5, 0, 6);
 
     // Time.
 
     /** A final answer is given so long before the caller's time is up: two ticks of a usual host. */
-    final long answerMargin = time("answer-margin", 10_000, 0, 1_000_000);
+    final long answerMarginMicros = time("answer-margin", 10_000, 0, 1_000_000);
     /** An attempt with less time than this is not worth its work. */
-    final long leastLimit = time("least-limit", 50_000, 0, 10_000_000);
+    final long minAttemptMicros = time("least-limit", 50_000, 0, 10_000_000);
     /** First wait before a failed call to the list of exchanges is repeated; it doubles up to the longest. */
-    final long listRetry = time("list-retry", 1_000_000, 1_000, 60_000_000);
-    final long listRetryMax = time("list-retry-max", 8_000_000, 1_000, 600_000_000);
+    final long listRetryMicros = time("list-retry", 1_000_000, 1_000, 60_000_000);
+    final long listRetryMaxMicros = time("list-retry-max", 8_000_000, 1_000, 600_000_000);
 
     // Calls held at source, and redials.
 
@@ -89,33 +89,33 @@
     /** A processor's capacity in set-ups, over the calls that an exchange's own subscribers offer. */
     final double capacityPerOwnCall = number("capacity-per-own-call", 2, 0, 100);
     /** Unanswered set-ups in a row after which a processor counts as silent. */
-    final int silentAfter = whole("silent-after", 2, 1, 1000);
+    final int gapAfterMissedAnswers = whole("silent-after", 2, 1, 1000);
     /**
      * A silent processor gets one set-up in this time, a window of less than its least. The gap doubles with
      * each set-up that goes unanswered and is divided with each good answer.
      */
-    final long silentGap = time("silent-gap", 500_000, 0, 60_000_000);
-    final long silentGapMax = time("silent-gap-max", 4_000_000, 0, 600_000_000);
+    final long silentGapMicros = time("silent-gap", 500_000, 0, 60_000_000);
+    final long silentGapMaxMicros = time("silent-gap-max", 4_000_000, 0, 600_000_000);
     final int silentGapDivisor = whole("silent-gap-divisor", 3, 2, 100);
     /** So few senders see a pair's trouble in time. With more, gaps grow in proportion: all call it. */
     final double fewSenders = number("few-senders", 8, 1, 10000);
     /** A processor that was silent for this long and answers again is held to have started anew. */
-    final long silentRestart = time("silent-restart", 4_000_000, 0, 600_000_000);
+    final long silentRestartMicros = time("silent-restart", 4_000_000, 0, 600_000_000);
 
     // Hot numbers.
 
     /** Gap between calls to a number whose lines were busy. */
-    final long hotGap = time("hot-gap", 500_000, 0, 60_000_000);
-    final long hotGapMax = time("hot-gap-max", 4_000_000, 0, 600_000_000);
+    final long hotGapMicros = time("hot-gap", 500_000, 0, 60_000_000);
+    final long hotGapMaxMicros = time("hot-gap-max", 4_000_000, 0, 600_000_000);
     /** A number is forgotten when it was not busy for so long. */
-    final long hotMemory = time("hot-memory", 20_000_000, 0, 3_600_000_000L);
+    final long hotMemoryMicros = time("hot-memory", 20_000_000, 0, 3_600_000_000L);
 
     /**
      * Time constant of the usual rate at which own subscribers call, long beside a crowd's rise, and the
      * least time that a rate is told from.
      */
-    final double rateTime = time("rate-time", 20_000_000, 1_000, 3_600_000_000L);
-    final long rateLeastTime = time("rate-least-time", 1_000_000, 0, 3_600_000_000L);
+    final double rateTimeConstantMicros = time("rate-time", 20_000_000, 1_000, 3_600_000_000L);
+    final long rateMinTimeMicros = time("rate-least-time", 1_000_000, 0, 3_600_000_000L);
 
     /**
      * The usual figures, but for those given by name; times in microseconds.
--- a/src/main/java/wingspread/control/WindowControl.java
+++ b/src/main/java/wingspread/control/WindowControl.java
@@ -1,5 +1,5 @@
-// Interface: CallControl.java (settings, events, actions, types). All of wingspread's decisions are here,
-// their figures in Figures.java.
+// Interface: CallControl.java (settings, events, actions, types). All decisions of the call control are made
+// in this file; their parameters are declared in a class of their own.
 package wingspread.control;
 
 import java.util.ArrayList;
@@ -11,157 +11,187 @@
 import java.util.SplittableRandom;
 
 /**
- * Window control of Noel and Johnson ("Novel Overload Controls for SIP Networks", section III) for one
- * exchange.
+ * The window-based overload control of Noel and Johnson ("Novel Overload Controls for SIP Networks",
+ * section III) for one exchange, with the parameters of {@link Figures}.
  *
- * <p>Per far processor it keeps a real-valued window of unanswered set-ups, which rises slowly on good
- * answers and is cut sharply on 'processor full', time-out and reset. A call goes direct while the own group
- * has room, else over the tandem remembered for its destination; what the window does not admit is refused
- * here, at the source.
+ * <p>For each far processor it keeps a real-valued window of unanswered set-ups, which grows slowly on good
+ * answers and is cut sharply on 'processor full', time-out and reset. A call takes the direct route while the
+ * group of circuits to its destination has free circuits, and otherwise the tandem remembered for that
+ * destination. Calls that the window does not admit are refused here, at the source.
+ *
+ * <p>All times are microseconds on the host's clock.
  */
 public final class WindowControl implements CallControl {
 
     private static final long TOKEN_DEADLINE = 0;
-    private static final long TOKEN_RELEASE = 1;
-    private static final long TOKEN_LIST = 2;
-    private static final long TOKEN_HOLD = 3;
+    private static final long TOKEN_RETRY = 1;
+    private static final long TOKEN_LIST_RETRY = 2;
+    private static final long TOKEN_HOLD_END = 3;
     private static final int TOKEN_SHIFT = 56;
 
     private final Settings settings;
-    private final Figures figures;
+    private final Figures parameters;
     private final Host host;
     private final SplittableRandom random;
     private final double meanWidth;
-    private final double widest;
+    private final double maxWidth;
     private final double gapScale;
-    /** Circuits of all own groups. */
-    private double allCircuits;
-    /** Far exchanges: in the order in which they were first named, and by address. */
-    private final List<Far> fars = new ArrayList<>();
-    private final Map<Long, Far> byAddress = new HashMap<>();
-    private final Map<Integer, List<Far>> byPlace = new HashMap<>();
-    private final Map<Long, Held> calls = new HashMap<>();
-    private final Map<Integer, Alternate> alternates = new HashMap<>();
-    private final Map<Long, Hot> hot = new LinkedHashMap<>();
-    /** Calls held at source, most worth per circuit and second first. */
-    private final List<Held> waiting = new ArrayList<>();
-    /** When a number that was refused here was first tried, to know the redial. */
-    private final Map<Long, Long> refused = new LinkedHashMap<>();
-    /** The own processor, with the bad answers in a row that speak against it and whose the last one was. */
-    private final Far own;
-    private int badAnswers;
-    private boolean badFromSeveral;
-    private Far lastBad;
-    private boolean ownShut;
-    private final Gap listRetry = new Gap();
-    /** Probability with which a blocked call tries a tandem at all. */
-    private double roundWindow = 1;
-    private double ownRate;
-    private long ownRateAt;
+    /** The number of circuits in all groups from this exchange. */
+    private double totalCircuits;
+    /** The far exchanges, in the order in which they were first listed. */
+    private final List<FarExchange> exchanges = new ArrayList<>();
+    private final Map<Long, FarExchange> exchangesByAddress = new HashMap<>();
+    private final Map<Integer, List<FarExchange>> exchangesByPlace = new HashMap<>();
+    private final Map<Long, CallState> calls = new HashMap<>();
+    private final Map<Integer, AlternateRoute> alternateRoutes = new HashMap<>();
+    private final Map<Long, HotNumber> hotNumbers = new LinkedHashMap<>();
+    /** The calls held at source, in descending order of value per circuit and second. */
+    private final List<CallState> heldCalls = new ArrayList<>();
+    /** When a number that was refused here was first offered, to recognize redials. */
+    private final Map<Long, Long> refusedNumbers = new LinkedHashMap<>();
+    /** The window over all set-ups from here, which protects the own processor. */
+    private final FarExchange ownProcessor;
+    /**
+     * Late and missing answers since the last timely one; from several exchanges they indicate own overload.
+     */
+    private int consecutiveBadAnswers;
+    private boolean badAnswersFromSeveral;
+    private FarExchange lastBadExchange;
+    /** Whether the own window has rejected a set-up since held calls were last served. */
+    private boolean blockedByOwnWindow;
+    private final Gap listRetryGap = new Gap();
+    /** The probability with which a blocked call may try a tandem. */
+    private double tandemProbability = 1;
+    /** Decaying average of the calls per second from own subscribers, as of {@code ownCallRateAt}. */
+    private double ownCallRate;
+    private long ownCallRateAt;
     private final long startedAt;
 
-    /** A far exchange: its processor's window, its group of circuits and what is known of its health. */
-    private static final class Far {
+    /**
+     * A far exchange: the window of its processor, the group of circuits to it and the state of its health.
+     */
+    private static final class FarExchange {
         final long address;
         final int place;
         Readiness readiness = Readiness.GONE;
         long upSince;
         double window;
+        /** Set-ups that were sent and have no answer yet. */
         int unanswered;
-        int good;
-        double free = Double.NaN;
+        /** Good answers since the window was last changed. */
+        int goodAnswers;
+        double freeCircuits = Double.NaN;
         double circuits = Double.NaN;
         boolean cold;
         long coldSince;
+        /** Set-ups that may be sent to the cold processor now. */
         double coldCredit;
-        long creditAt;
-        int missed;
-        long missedSince;
+        long coldCreditAt;
+        /** Set-ups counted by {@link #recordMissedAnswer} since the last good answer. */
+        int missedAnswers;
+        long missedAnswersSince;
         final Gap gap = new Gap();
-        long lastSend;
+        long lastSetUpAt;
 
-        Far(long address, int place, double window) {
+        FarExchange(long address, int place, double window) {
             this.address = address;
             this.place = place;
             this.window = window;
         }
 
-        /** Whether there is no group of circuits between here and there. */
-        boolean unlinked() {
+        /** Whether there is no group of circuits to this exchange, so that calls need a tandem. */
+        boolean hasNoDirectGroup() {
             return circuits == 0;
         }
 
-        boolean silent() {
-            return gap.length > 0;
+        /**
+         * Whether set-ups are limited to one per gap, because the processor is overloaded or unresponsive.
+         */
+        boolean isGapped() {
+            return gap.lengthMicros > 0;
         }
     }
 
-    /** A call between its coming in and the outcome of its last attempt. */
-    private static final class Held {
+    /** A call from its arrival to the outcome of its last attempt. */
+    private static final class CallState {
         final Call call;
         final long deadline;
+        /** The time by which the call should be established. */
         final long aimAt;
+        /** The time until which the call may be held at source. */
         final long holdUntil;
         int attempts;
-        int tandems;
+        int tandemAttempts;
         boolean directTried;
-        int faults;
-        boolean out;
-        boolean stood;
+        int signallingFaults;
+        boolean attemptPending;
+        boolean established;
+        /** Whether the call needs no final answer any longer. */
         boolean closed;
-        long notBefore;
-        Far sentTo;
-        boolean waits;
-        final List<Far> tried = new ArrayList<>();
-        Far maybeRanAt;
-        long maybeRanSince;
-
-        Held(Call call, long first, long aim, double holdShare) {
+        long retryNotBefore;
+        FarExchange lastExchange;
+        boolean heldAtSource;
+        final List<FarExchange> triedExchanges = new ArrayList<>();
+        /** The first exchange that may have executed the set-up without a usable answer, null for none. */
+        FarExchange maybeExecutedBy;
+        long maybeExecutedSince;
+
+        CallState(Call call, long firstOfferedAt, long aim, double holdShare) {
             this.call = call;
             this.deadline = call.deadline();
-            this.aimAt = first + aim;
-            this.holdUntil = first + (long) (holdShare * aim);
+            this.aimAt = firstOfferedAt + aim;
+            this.holdUntil = firstOfferedAt + (long) (holdShare * aim);
         }
     }
 
-    /** The way round toward one destination: the tandem that worked, and the pause while none does. */
-    private static final class Alternate {
-        Far tandem;
-        int turnBacks;
+    /**
+     * The alternate route to one destination: the last tandem that worked, and the pause while none works.
+     */
+    private static final class AlternateRoute {
+        FarExchange tandem;
+        /** Crankbacks since a tandem last completed a call. */
+        int crankbacks;
         final Gap pause = new Gap();
     }
 
-    /** A number whose lines were busy. */
-    private static final class Hot {
+    /** A number whose lines were busy, last at {@code busyAt}. */
+    private static final class HotNumber {
         final Gap gap = new Gap();
         long busyAt;
     }
 
-    /** Call gapping: a gap of none, which each failure doubles from a first length up to a longest. */
+    /**
+     * A gap between calls (call gapping): initially zero, doubled by each failure between a minimum and a
+     * maximum.
+     */
     private static final class Gap {
-        long length;
+        long lengthMicros;
         long until;
         long grownAt;
 
-        void grow(long now, long first, long longest) {
+        void grow(long now, long min, long max) {
             grownAt = now;
-            length = Math.max(first, Math.min(2 * length, longest));
-            until = now + length;
+            lengthMicros = Math.max(min, Math.min(2 * lengthMicros, max));
+            until = now + lengthMicros;
         }
     }
 
-    /** Starts a control with nothing but its settings; all its randomness comes from {@code seed}. */
-    public WindowControl(long now, Settings settings, Figures figures, long seed, Host host) {
+    /**
+     * Creates a control that knows no exchange yet.
+     *
+     * @param seed the seed of all random choices, so that the same events give the same actions
+     */
+    public WindowControl(long now, Settings settings, Figures parameters, long seed, Host host) {
         this.settings = settings;
-        this.figures = figures;
+        this.parameters = parameters;
         this.host = host;
         this.random = new SplittableRandom(seed);
-        this.ownRateAt = now;
+        this.ownCallRateAt = now;
         this.startedAt = now;
-        this.gapScale = Math.max(1, settings.softswitches() / figures.fewSenders);
-        this.own = new Far(-1, -1, figures.ownWindowStart);
+        this.gapScale = Math.max(1, settings.softswitches() / parameters.fewSenders);
+        this.ownProcessor = new FarExchange(-1, -1, parameters.ownWindowStart);
         this.meanWidth = settings.classes().stream().mapToDouble(CallClass::width).average().orElse(1);
-        this.widest = settings.classes().stream().mapToDouble(CallClass::width).max().orElse(1);
+        this.maxWidth = settings.classes().stream().mapToDouble(CallClass::width).max().orElse(1);
         if (settings.askForList()) {
             host.subscribe(true);
         }
@@ -172,232 +202,243 @@
     @Override
     public void onCall(long now, Call call) {
         CallClass callClass = settings.classes().get(call.callClass());
-        Held held = new Held(call, firstTry(now, call, callClass), callClass.aim(),
-                figures.holdShare);
-        calls.put(call.id(), held);
+        CallState state = new CallState(call, firstOfferedAt(now, call, callClass), callClass.aim(),
+                parameters.holdShare);
+        calls.put(call.id(), state);
         if (!call.transit()) {
-            ownRate = ownRate * Math.exp((ownRateAt - now) / figures.rateTime) + 1_000_000 / figures.rateTime;
-            ownRateAt = now;
+            ownCallRate = ownCallRate * Math.exp((ownCallRateAt - now) / parameters.rateTimeConstantMicros)
+                    + 1_000_000 / parameters.rateTimeConstantMicros;
+            ownCallRateAt = now;
         }
-        host.timer(Math.max(now, call.deadline() - figures.answerMargin), token(TOKEN_DEADLINE, call.id()));
-        route(now, held);
+        host.timer(Math.max(now, call.deadline() - parameters.answerMarginMicros),
+                token(TOKEN_DEADLINE, call.id()));
+        route(now, state);
     }
 
     @Override
-    public void onStood(long now, long id, int attempt, long exchange, long took) {
-        Held held = calls.get(id);
-        if (held == null || !held.out || attempt != held.attempts - 1 || held.stood) {
+    public void onStood(long now, long id, int attempt, long address, long elapsed) {
+        CallState state = calls.get(id);
+        if (state == null || !state.attemptPending || attempt != state.attempts - 1 || state.established) {
             return;
         }
-        held.stood = true;
-        held.closed = true;
-        goodAnswer(now, held.sentTo);
-        if (took > slowAfter(held.call)) {
-            badAnswer(now, held.sentTo, now - took, false);
+        state.established = true;
+        state.closed = true;
+        recordGoodAnswer(now, state.lastExchange);
+        if (elapsed > slowThreshold(state.call)) {
+            recordBadAnswer(now, state.lastExchange, now - elapsed, false);
         } else {
-            ownGood();
+            recordOwnGoodAnswer();
         }
-        held.sentTo.unanswered--;
-        own.unanswered--;
-        serveWaiting(now, held.sentTo);
-        if (held.tandems > 0 && held.sentTo.place != held.call.destination()) {
-            Alternate alternate = alternate(held.call.destination());
-            alternate.tandem = held.sentTo;
-            alternate.turnBacks = 0;
-            alternate.pause.length = 0;
-            roundWindow = Math.min(1, roundWindow + figures.roundGain);
+        state.lastExchange.unanswered--;
+        ownProcessor.unanswered--;
+        serveHeldCalls(now, state.lastExchange);
+        if (state.tandemAttempts > 0 && state.lastExchange.place != state.call.destination()) {
+            AlternateRoute route = alternateRoute(state.call.destination());
+            route.tandem = state.lastExchange;
+            route.crankbacks = 0;
+            route.pause.lengthMicros = 0;
+            tandemProbability = Math.min(1, tandemProbability + parameters.tandemProbabilityGain);
         }
     }
 
     @Override
     public void onOutcome(long now, Outcome outcome) {
-        Held held = calls.get(outcome.call());
-        if (held == null || !held.out || outcome.attempt() != held.attempts - 1) {
+        CallState state = calls.get(outcome.call());
+        if (state == null || !state.attemptPending || outcome.attempt() != state.attempts - 1) {
             return;
         }
-        held.out = false;
-        Far far = held.sentTo;
-        learnGroup(far, outcome.report());
-        if (!held.stood) {
-            far.unanswered--;
-            own.unanswered--;
-            judge(now, held, far, outcome);
+        state.attemptPending = false;
+        FarExchange exchange = state.lastExchange;
+        updateCircuits(exchange, outcome.report());
+        if (!state.established) {
+            exchange.unanswered--;
+            ownProcessor.unanswered--;
+            evaluateOutcome(now, state, exchange, outcome);
         }
-        if (outcome.closed() || held.closed) {
+        if (outcome.closed() || state.closed) {
             calls.remove(outcome.call());
         } else {
-            afterAttempt(now, held, far, outcome);
+            handleFailedAttempt(now, state, exchange, outcome);
         }
-        serveWaiting(now, far);
+        serveHeldCalls(now, exchange);
     }
 
     @Override
     public void onDropped(long now, long id) {
-        Held held = calls.get(id);
-        if (held != null) {
-            close(held);
+        CallState state = calls.get(id);
+        if (state != null) {
+            close(state);
         }
     }
 
     @Override
     public void onExchangeList(long now, ListKind kind, List<Exchange> entries) {
         if (kind == ListKind.FAILED) {
-            listRetry.grow(now, figures.listRetry, figures.listRetryMax);
-            host.timer(listRetry.until, token(TOKEN_LIST, 0));
+            listRetryGap.grow(now, parameters.listRetryMicros, parameters.listRetryMaxMicros);
+            host.timer(listRetryGap.until, token(TOKEN_LIST_RETRY, 0));
             return;
         }
         if (kind != ListKind.CACHED) {
-            listRetry.length = 0;
+            listRetryGap.lengthMicros = 0;
         }
         if (kind != ListKind.DELTA) {
-            for (Far far : fars) {
-                far.readiness = Readiness.GONE;
+            for (FarExchange exchange : exchanges) {
+                exchange.readiness = Readiness.GONE;
             }
         }
         for (Exchange entry : entries) {
             if (settings.layout() == Layout.SKILLS || entry.place() != settings.ownPlace()) {
-                learnEntry(now, entry);
+                updateExchange(now, entry);
             }
         }
-        fars.removeIf(this::forgetIfGone);
+        exchanges.removeIf(this::removeIfGone);
     }
 
     /**
-     * Guards against exchanges that are replaced again and again: what is known of one that has gone would
-     * pile up, and its circuits would count beside its successor's, which lowers the share of a cold one.
+     * Removes an exchange that is no longer listed. Without it, the state of exchanges that are replaced
+     * repeatedly would accumulate, and their circuits would be counted in addition to those of their
+     * successors, which lowers the share computed for a cold exchange.
      */
-    private boolean forgetIfGone(Far far) {
-        if (far.readiness != Readiness.GONE) {
+    private boolean removeIfGone(FarExchange exchange) {
+        if (exchange.readiness != Readiness.GONE) {
             return false;
         }
-        byAddress.remove(far.address);
-        byPlace.get(far.place).remove(far);
-        allCircuits -= Double.isNaN(far.circuits) ? 0 : far.circuits;
-        far.circuits = Double.NaN;
+        exchangesByAddress.remove(exchange.address);
+        exchangesByPlace.get(exchange.place).remove(exchange);
+        totalCircuits -= Double.isNaN(exchange.circuits) ? 0 : exchange.circuits;
+        exchange.circuits = Double.NaN;
         return true;
     }
 
     @Override
-    public void onReport(long now, long exchange, Status status, long took, Report report) {
-        Far far = byAddress.get(exchange);
-        if (far != null && status == Status.OK) {
-            learnGroup(far, report);
-            serveWaiting(now, far);
+    public void onReport(long now, long address, Status status, long elapsed, Report report) {
+        FarExchange exchange = exchangesByAddress.get(address);
+        if (exchange != null && status == Status.OK) {
+            updateCircuits(exchange, report);
+            serveHeldCalls(now, exchange);
         }
     }
 
     @Override
     public void onTimer(long now, long token) {
         long kind = token >>> TOKEN_SHIFT;
-        Held held = calls.get(token & ((1L << TOKEN_SHIFT) - 1));
-        if (kind == TOKEN_LIST) {
+        CallState state = calls.get(token & ((1L << TOKEN_SHIFT) - 1));
+        if (kind == TOKEN_LIST_RETRY) {
             host.subscribe(true);
-        } else if (held != null && !held.closed && kind == TOKEN_RELEASE) {
-            route(now, held);
-        } else if (held != null && !held.closed && kind == TOKEN_DEADLINE) {
-            giveUp(held);
-        } else if (held != null && held.waits && kind == TOKEN_HOLD) {
-            refuse(held, 0);
+        } else if (state != null && !state.closed && kind == TOKEN_RETRY) {
+            route(now, state);
+        } else if (state != null && !state.closed && kind == TOKEN_DEADLINE) {
+            failAtDeadline(state);
+        } else if (state != null && state.heldAtSource && kind == TOKEN_HOLD_END) {
+            refuse(state, 0);
         }
     }
 
     @Override
     public void onPeer(long now, int from, byte[] message) {
-        // Softswitches tell each other nothing yet.
+        // Softswitches do not exchange messages yet.
     }
 
     // Routing.
 
-    /** Finds the next exchange for a call, or answers it. */
-    private void route(long now, Held held) {
-        if (held.out || held.closed) {
+    /** Sends a call to the next exchange on its routes, holds it at source or refuses it. */
+    private void route(long now, CallState state) {
+        if (state.attemptPending || state.closed) {
             return;
         }
-        if (held.attempts >= settings.maxAttempts()
-                || held.deadline - now < figures.leastLimit + figures.answerMargin) {
-            refuse(held, 0);
+        if (state.attempts >= settings.maxAttempts()
+                || state.deadline - now < parameters.minAttemptMicros + parameters.answerMarginMicros) {
+            refuse(state, 0);
             return;
         }
-        Far destination = at(held.call.destination());
+        FarExchange destination = readyExchangeAt(state.call.destination());
         if (destination == null && settings.layout() == Layout.NETWORK) {
-            refuse(held, 0);
+            refuse(state, 0);
             return;
         }
-        long hold = holdNumber(now, held.call.number());
-        if (hold > 0 && held.attempts == 0) {
-            refuse(held, hold);
+        long numberGap = remainingNumberGap(now, state.call.number());
+        if (numberGap > 0 && state.attempts == 0) {
+            refuse(state, numberGap);
             return;
         }
-        if (held.call.transit()) {
-            if (admits(now, destination) && hasRoom(destination, held.call.width(), true)) {
-                send(now, held, destination);
+        if (state.call.transit()) {
+            if (admits(now, destination) && hasFreeCircuits(destination, state.call.width(), true)) {
+                send(now, state, destination);
             } else {
-                refuse(held, 0);
+                refuse(state, 0);
             }
             return;
         }
-        if (destination != null && !held.directTried && mayRepeat(now, held, destination)) {
+        if (destination != null && !state.directTried && mayRepeat(now, state, destination)) {
             if (!admits(now, destination)) {
-                holdOrRefuse(now, held);
+                holdOrRefuse(now, state);
                 return;
             }
-            if (hasRoom(destination, held.call.width(), now >= held.aimAt)) {
-                held.directTried = true;
-                send(now, held, destination);
+            if (hasFreeCircuits(destination, state.call.width(), now >= state.aimAt)) {
+                state.directTried = true;
+                send(now, state, destination);
                 return;
             }
         }
-        Far tandem = held.tandems < figures.tandems && roundAdmits(destination) ? tandem(now, held) : null;
+        FarExchange tandem = state.tandemAttempts < parameters.maxTandemsPerCall && mayTryTandem(destination)
+                ? chooseTandem(now, state) : null;
         if (tandem == null) {
-            holdOrRefuse(now, held);
+            holdOrRefuse(now, state);
         } else {
-            held.tandems++;
-            send(now, held, tandem);
+            state.tandemAttempts++;
+            send(now, state, tandem);
         }
     }
 
     /**
-     * Queues a blocked call at source for room that comes free, while it can still stand within its aim; one
-     * that is given up is answered at once. Guards against calls refused a moment before a circuit clears.
-     * May hurt where nothing comes free for long: the refusal is later, not the loss greater.
+     * Holds a blocked call at source until capacity becomes free, as long as it can still be established
+     * within its aim, and refuses it otherwise. Prevents the refusal of calls just before a circuit becomes
+     * free. Drawback: where nothing becomes free for long, calls are refused later, though no more are lost.
      */
-    private void holdOrRefuse(long now, Held held) {
-        if (now >= held.holdUntil || held.directTried) {
-            refuse(held, 0);
-        } else if (!held.waits) {
-            held.waits = true;
-            int at = waiting.size();
-            while (at > 0 && worthOfCircuit(waiting.get(at - 1)) < worthOfCircuit(held)) {
+    private void holdOrRefuse(long now, CallState state) {
+        if (now >= state.holdUntil || state.directTried) {
+            refuse(state, 0);
+        } else if (!state.heldAtSource) {
+            state.heldAtSource = true;
+            int at = heldCalls.size();
+            while (at > 0 && valuePerCircuitSecond(heldCalls.get(at - 1)) < valuePerCircuitSecond(state)) {
                 at--;
             }
-            waiting.add(at, held);
-            host.timer(held.holdUntil, token(TOKEN_HOLD, held.call.id()));
+            heldCalls.add(at, state);
+            host.timer(state.holdUntil, token(TOKEN_HOLD_END, state.call.id()));
         }
     }
 
-    /** Gives what has come free toward an exchange to the calls held for it. */
-    private void serveWaiting(long now, Far far) {
-        if (waiting.isEmpty()) {
+    /**
+     * Routes the held calls again after capacity toward an exchange has become free: those for this exchange,
+     * or all where the own window was what blocked them.
+     */
+    private void serveHeldCalls(long now, FarExchange exchange) {
+        if (heldCalls.isEmpty()) {
             return;
         }
-        boolean all = ownShut;
-        ownShut = false;
-        for (Held held : new ArrayList<>(waiting)) {
-            if (held.waits && (all || held.call.destination() == far.place)) {
-                route(now, held);
+        boolean all = blockedByOwnWindow;
+        blockedByOwnWindow = false;
+        for (CallState state : new ArrayList<>(heldCalls)) {
+            if (state.heldAtSource && (all || state.call.destination() == exchange.place)) {
+                route(now, state);
             }
         }
     }
 
-    /** Worth of a call for each circuit and second it takes. */
-    private double worthOfCircuit(Held held) {
-        CallClass callClass = settings.classes().get(held.call.callClass());
-        return callClass.worth() / Math.max(1, held.call.width()) / Math.max(1, callClass.holding());
+    /** Returns the value of a call per circuit and second that it occupies. */
+    private double valuePerCircuitSecond(CallState state) {
+        CallClass callClass = settings.classes().get(state.call.callClass());
+        return callClass.worth() / Math.max(1, state.call.width()) / Math.max(1, callClass.holding());
     }
 
-    /** When a call was first tried: a number refused here not long ago is dialled again. */
-    private long firstTry(long now, Call call, CallClass callClass) {
-        Long first = call.transit() ? null : refused.get(call.number());
+    /**
+     * Returns when a call was first offered. A call to a number that was refused here within the caller's
+     * waiting time is a redial and counts from the first offer; one only marked as a redial counts as past
+     * its aim.
+     */
+    private long firstOfferedAt(long now, Call call, CallClass callClass) {
+        Long first = call.transit() ? null : refusedNumbers.get(call.number());
         if (first != null && now - first < callClass.deadline()) {
             return first;
         }
@@ -405,460 +446,493 @@
     }
 
     /**
-     * Whether a blocked call may try a tandem. Guards against jams of crank-backs, where many destinations
-     * see few calls each and no single one shows the jam: slow processors, lost circuits, a crowd. Pairs
-     * without a group are not bound, a tandem being their ordinary way. May hurt after the jam, until enough
-     * calls stood.
+     * Whether a blocked call may try a tandem. Prevents congestion by crankbacks, where many destinations
+     * receive few calls each and no single one reveals the congestion: slow processors, lost circuits, a
+     * flash crowd. Destinations without a direct group are exempt, because a tandem is their normal route.
+     * Drawback: after the congestion, tandems stay limited until enough calls have been established.
      */
-    private boolean roundAdmits(Far destination) {
-        return destination != null && destination.unlinked() || random.nextDouble() < roundWindow;
+    private boolean mayTryTandem(FarExchange destination) {
+        return destination != null && destination.hasNoDirectGroup()
+                || random.nextDouble() < tandemProbability;
     }
 
-    /** The remembered tandem while it serves, else one newly drawn, the centre's advice first. */
-    private Far tandem(long now, Held held) {
-        Far destination = at(held.call.destination());
-        boolean leaveReserve = destination == null || !destination.unlinked();
-        Alternate alternate = alternate(held.call.destination());
-        if (alternate.tandem != null && serves(now, alternate.tandem, held, leaveReserve)) {
-            return alternate.tandem;
-        }
-        alternate.tandem = null;
-        if (now < alternate.pause.until) {
+    /**
+     * Returns the remembered tandem while it is usable, else the one advised by the control centre, else one
+     * chosen at random in proportion to its free circuits; null if there is none or alternate routing is
+     * paused.
+     */
+    private FarExchange chooseTandem(long now, CallState state) {
+        FarExchange destination = readyExchangeAt(state.call.destination());
+        boolean leaveReserve = destination == null || !destination.hasNoDirectGroup();
+        AlternateRoute route = alternateRoute(state.call.destination());
+        if (route.tandem != null && isUsableTandem(now, route.tandem, state, leaveReserve)) {
+            return route.tandem;
+        }
+        route.tandem = null;
+        if (now < route.pause.until) {
             return null;
         }
-        Far advised = at(held.call.via());
-        if (advised != null && serves(now, advised, held, leaveReserve)) {
+        FarExchange advised = readyExchangeAt(state.call.via());
+        if (advised != null && isUsableTandem(now, advised, state, leaveReserve)) {
             return advised;
         }
         double sum = 0;
-        Far drawn = null;
-        for (Far far : fars) {
-            if (serves(now, far, held, leaveReserve)) {
-                double room = Double.isNaN(far.free) ? 1 : 1 + far.free - reserve(far);
-                sum += room;
-                if (random.nextDouble() * sum < room) {
-                    drawn = far;
+        FarExchange chosen = null;
+        for (FarExchange exchange : exchanges) {
+            if (isUsableTandem(now, exchange, state, leaveReserve)) {
+                double weight = Double.isNaN(exchange.freeCircuits)
+                        ? 1 : 1 + exchange.freeCircuits - reservedCircuits(exchange);
+                sum += weight;
+                if (random.nextDouble() * sum < weight) {
+                    chosen = exchange;
                 }
             }
         }
-        return drawn;
+        return chosen;
     }
 
-    /** Whether an exchange can be the tandem, or the pool of second choice, of a call. */
-    private boolean serves(long now, Far far, Held held, boolean leaveReserve) {
-        CallClass callClass = settings.classes().get(held.call.callClass());
-        return far.readiness == Readiness.READY && far.place != held.call.destination()
-                && !held.tried.contains(far)
-                && (settings.layout() == Layout.NETWORK || callClass.pools().contains(far.place))
-                && !far.silent() && !far.cold && hasRoom(far, held.call.width(), leaveReserve)
-                && mayRepeat(now, held, far) && admits(now, far);
+    /** Whether an exchange is usable as the tandem, or as the pool of second choice, for a call. */
+    private boolean isUsableTandem(long now, FarExchange exchange, CallState state, boolean leaveReserve) {
+        CallClass callClass = settings.classes().get(state.call.callClass());
+        return exchange.readiness == Readiness.READY && exchange.place != state.call.destination()
+                && !state.triedExchanges.contains(exchange)
+                && (settings.layout() == Layout.NETWORK || callClass.pools().contains(exchange.place))
+                && !exchange.isGapped() && !exchange.cold
+                && hasFreeCircuits(exchange, state.call.width(), leaveReserve)
+                && mayRepeat(now, state, exchange) && admits(now, exchange);
     }
 
-    /** Room on the group toward an exchange; second choice and transit leave the reserve free. */
-    private boolean hasRoom(Far far, double width, boolean leaveReserve) {
-        return Double.isNaN(far.free) || far.free - width >= (leaveReserve ? reserve(far) : 0);
+    /**
+     * Whether the group toward an exchange has free circuits; alternate and transit calls leave the reserve.
+     */
+    private boolean hasFreeCircuits(FarExchange exchange, double width, boolean leaveReserve) {
+        return Double.isNaN(exchange.freeCircuits)
+                || exchange.freeCircuits - width >= (leaveReserve ? reservedCircuits(exchange) : 0);
     }
 
-    private double reserve(Far far) {
-        return Double.isNaN(far.circuits) ? 1 : Math.min(
-                Math.ceil(figures.reserve * Math.sqrt(far.circuits * meanWidth)),
-                Math.floor(figures.reserveShare * Math.max(0, far.circuits - widest)));
+    /** Returns the circuits kept for direct calls (trunk reservation) on the group toward an exchange. */
+    private double reservedCircuits(FarExchange exchange) {
+        return Double.isNaN(exchange.circuits) ? 1 : Math.min(
+                Math.ceil(parameters.reserve * Math.sqrt(exchange.circuits * meanWidth)),
+                Math.floor(parameters.reserveShare * Math.max(0, exchange.circuits - maxWidth)));
     }
 
-    /** Whether the window, and the budget of a cold or silent processor, let one more set-up go. */
-    private boolean admits(long now, Far far) {
-        if (own.unanswered >= own.window) {
-            ownShut = true;
+    /** Whether the windows, and the budget of a cold or unresponsive processor, admit one more set-up. */
+    private boolean admits(long now, FarExchange exchange) {
+        if (ownProcessor.unanswered >= ownProcessor.window) {
+            blockedByOwnWindow = true;
             return false;
         }
-        if (far.silent()) {
-            return far.unanswered == 0 && now - far.lastSend >= far.gap.length;
+        if (exchange.isGapped()) {
+            return exchange.unanswered == 0 && now - exchange.lastSetUpAt >= exchange.gap.lengthMicros;
         }
-        if (isCold(now, far) && far.coldCredit < 1) {
+        if (isCold(now, exchange) && exchange.coldCredit < 1) {
             return false;
         }
-        if (far.unanswered == 0 && far.window < 1) {
-            return random.nextDouble() < far.window;
+        if (exchange.unanswered == 0 && exchange.window < 1) {
+            return random.nextDouble() < exchange.window;
         }
-        return far.unanswered < far.window;
+        return exchange.unanswered < exchange.window;
     }
 
-    private void send(long now, Held held, Far far) {
-        CallClass callClass = settings.classes().get(held.call.callClass());
-        long latest = held.deadline - figures.answerMargin;
-        long toAim = now >= held.aimAt ? now + callClass.aim()
-                : Math.max(held.aimAt, now + callClass.aim() / 2);
-        stopWaiting(held);
-        held.attempts++;
-        held.out = true;
-        held.sentTo = far;
-        held.tried.add(far);
-        far.unanswered++;
-        own.unanswered++;
-        far.lastSend = now;
-        far.free -= held.call.width();
-        if (far.cold) {
-            far.coldCredit--;
+    private void send(long now, CallState state, FarExchange exchange) {
+        CallClass callClass = settings.classes().get(state.call.callClass());
+        long deadlineLimit = state.deadline - parameters.answerMarginMicros;
+        long aimLimit = now >= state.aimAt ? now + callClass.aim()
+                : Math.max(state.aimAt, now + callClass.aim() / 2);
+        removeFromHeldCalls(state);
+        state.attempts++;
+        state.attemptPending = true;
+        state.lastExchange = exchange;
+        state.triedExchanges.add(exchange);
+        exchange.unanswered++;
+        ownProcessor.unanswered++;
+        exchange.lastSetUpAt = now;
+        exchange.freeCircuits -= state.call.width();
+        if (exchange.cold) {
+            exchange.coldCredit--;
         }
-        host.send(held.call.id(), far.address, held.call.transit() ? latest : Math.min(latest, toAim));
+        host.send(state.call.id(), exchange.address,
+                state.call.transit() ? deadlineLimit : Math.min(deadlineLimit, aimLimit));
     }
 
     // Answers.
 
-    /** What an attempt that did not stand says of the far processor. */
-    private void judge(long now, Held held, Far far, Outcome outcome) {
+    /**
+     * Updates the state of the far processor by the outcome of an attempt that did not establish its call.
+     */
+    private void evaluateOutcome(long now, CallState state, FarExchange exchange, Outcome outcome) {
         Status status = outcome.status();
-        if ((status == Status.FULL || status == Status.ERROR) && outcome.took() <= slowAfter(held.call)) {
-            ownGood();
+        if ((status == Status.FULL || status == Status.ERROR)
+                && outcome.elapsed() <= slowThreshold(state.call)) {
+            recordOwnGoodAnswer();
         }
         switch (status) {
-            case TIMEOUT, CONNECT_FAILED -> badAnswer(now, far, now - outcome.took(), true);
-            case RESET -> cut(far);
+            case TIMEOUT, CONNECT_FAILED -> recordBadAnswer(now, exchange, now - outcome.elapsed(), true);
+            case RESET -> cutWindow(exchange);
             case FULL -> {
                 if (outcome.cause() == Cause.PROCESSOR_FULL) {
-                    if (far.window > figures.windowMin) {
-                        far.missed = 0;
+                    if (exchange.window > parameters.windowMin) {
+                        exchange.missedAnswers = 0;
                     } else {
-                        noGoodAnswer(now, far, now - outcome.took());
+                        recordMissedAnswer(now, exchange, now - outcome.elapsed());
                     }
-                    cut(far);
+                    cutWindow(exchange);
                 } else {
-                    goodAnswer(now, far);
-                    Far beyond = at(held.call.destination());
-                    if (outcome.cause() == Cause.BEYOND_FULL && beyond != null) {
-                        cut(beyond);
+                    recordGoodAnswer(now, exchange);
+                    FarExchange destination = readyExchangeAt(state.call.destination());
+                    if (outcome.cause() == Cause.BEYOND_FULL && destination != null) {
+                        cutWindow(destination);
                     }
                 }
             }
             case ERROR -> {
-                goodAnswer(now, far);
+                recordGoodAnswer(now, exchange);
                 if (outcome.cause() == Cause.LINES_BUSY) {
-                    numberBusy(now, held.call.number());
+                    recordBusyNumber(now, state.call.number());
                 }
             }
-            // Guards against a caller that gives up the one set-up toward a silent processor.
-            case CANCELLED -> far.lastSend = far.silent() ? now - far.gap.length : far.lastSend;
+            // The caller cancelled the only set-up that the gap allowed: allow another one now.
+            case CANCELLED -> exchange.lastSetUpAt =
+                    exchange.isGapped() ? now - exchange.gap.lengthMicros : exchange.lastSetUpAt;
             case MOOT -> {
-                // Guards against circuits counted as taken by a set-up that never left.
+                // The set-up was never sent, so it occupies no circuits.
                 if (outcome.cause() == Cause.NONE) {
-                    far.free += held.call.width();
+                    exchange.freeCircuits += state.call.width();
                 }
             }
             default -> { }
         }
     }
 
-    /** What to do with a call whose attempt ended without standing. */
-    private void afterAttempt(long now, Held held, Far far, Outcome outcome) {
+    /** Routes a call again or refuses it after an attempt that did not establish it. */
+    private void handleFailedAttempt(long now, CallState state, FarExchange exchange, Outcome outcome) {
         Status status = outcome.status();
-        boolean provesNothingRan = status == Status.FULL || status == Status.CONNECT_FAILED
+        boolean provesNotExecuted = status == Status.FULL || status == Status.CONNECT_FAILED
                 || status == Status.MOOT;
-        if (!provesNothingRan && held.maybeRanAt == null) {
-            held.maybeRanAt = far;
-            held.maybeRanSince = now - outcome.took();
+        if (!provesNotExecuted && state.maybeExecutedBy == null) {
+            state.maybeExecutedBy = exchange;
+            state.maybeExecutedSince = now - outcome.elapsed();
         }
         if (status == Status.TIMEOUT || status == Status.RESET || status == Status.CANCELLED) {
-            held.notBefore = now + settings.release();
+            state.retryNotBefore = now + settings.release();
         }
-        if (far.place != held.call.destination()) {
-            turnedBack(now, held, far);
+        if (exchange.place != state.call.destination()) {
+            recordCrankback(now, state, exchange);
         }
-        boolean hopeless = held.call.transit() || outcome.cause() == Cause.LINES_BUSY
-                || outcome.cause() == Cause.BEYOND_FULL || far.place == held.call.destination()
+        boolean noFurtherAttempt = state.call.transit() || outcome.cause() == Cause.LINES_BUSY
+                || outcome.cause() == Cause.BEYOND_FULL || exchange.place == state.call.destination()
                 && (outcome.cause() == Cause.PROCESSOR_FULL || status == Status.CONNECT_FAILED);
-        if (status == Status.ERROR && held.faults++ < figures.faultsRetried) {
-            held.directTried = false;
+        if (status == Status.ERROR && state.signallingFaults++ < parameters.maxFaultRetries) {
+            state.directTried = false;
         }
         if (outcome.cause() == Cause.NO_CIRCUIT && status == Status.MOOT) {
-            far.free = Math.min(far.free, 0);
-            held.directTried = false;
+            exchange.freeCircuits = Math.min(exchange.freeCircuits, 0);
+            state.directTried = false;
         }
-        if (hopeless || held.notBefore >= held.aimAt) {
-            refuse(held, 0);
-        } else if (held.notBefore > now) {
-            host.timer(held.notBefore, token(TOKEN_RELEASE, held.call.id()));
+        if (noFurtherAttempt || state.retryNotBefore >= state.aimAt) {
+            refuse(state, 0);
+        } else if (state.retryNotBefore > now) {
+            host.timer(state.retryNotBefore, token(TOKEN_RETRY, state.call.id()));
         } else {
-            route(now, held);
+            route(now, state);
         }
     }
 
     /**
-     * A tandem did not bring the call through: another is drawn next. Guards against lost work where no way
-     * round has room: few circuits, a slow tandem, groups that lost circuits. It may hurt where room comes
-     * back within the pause.
+     * Records that a tandem did not complete a call; the next call chooses another one. Prevents wasted work
+     * where no alternate route has capacity: few circuits, a slow tandem, groups that lost circuits.
+     * Drawback: capacity that becomes free within the pause stays unused.
      */
-    private void turnedBack(long now, Held held, Far far) {
-        Alternate alternate = alternate(held.call.destination());
-        if (alternate.tandem == far) {
-            alternate.tandem = null;
+    private void recordCrankback(long now, CallState state, FarExchange exchange) {
+        AlternateRoute route = alternateRoute(state.call.destination());
+        if (route.tandem == exchange) {
+            route.tandem = null;
         }
-        alternate.turnBacks++;
-        roundWindow = Math.max(figures.roundMin, roundWindow - figures.roundCut * (1 - 1 / gapScale));
-        if (alternate.turnBacks >= figures.turnBacks) {
-            alternate.pause.grow(now, figures.alternateGap, figures.alternateGapMax);
+        route.crankbacks++;
+        tandemProbability = Math.max(parameters.tandemProbabilityMin,
+                tandemProbability - parameters.tandemProbabilityCut * (1 - 1 / gapScale));
+        if (route.crankbacks >= parameters.crankbacksBeforePause) {
+            route.pause.grow(now, parameters.alternateGapMicros, parameters.alternateGapMaxMicros);
         }
     }
 
-    private Alternate alternate(int destination) {
-        return alternates.computeIfAbsent(destination, d -> new Alternate());
+    private AlternateRoute alternateRoute(int destination) {
+        return alternateRoutes.computeIfAbsent(destination, d -> new AlternateRoute());
     }
 
     /**
-     * A set-up went unanswered, or was refused by a full processor at the least window. Guards against
-     * processors that hang, are gone or are slower than any window can tell, and against an own processor so
-     * slow that nothing it sends is answered. May hurt in the seconds after the trouble has passed, until the
-     * gap is worked off.
+     * Records a set-up that was not answered, or was refused by a full processor whose window is at its
+     * minimum, and starts or extends call gapping. Protects against processors that hang, have disappeared or
+     * are slower than any window can express, and against an own processor so slow that none of its set-ups
+     * are answered. Drawback: after recovery, calls are limited for some seconds until the gap has shrunk.
      */
-    private void noGoodAnswer(long now, Far far, long sentAt) {
-        if (far.missed++ == 0) {
-            far.missedSince = now;
+    private void recordMissedAnswer(long now, FarExchange exchange, long sentAt) {
+        if (exchange.missedAnswers++ == 0) {
+            exchange.missedAnswersSince = now;
         }
-        // Guards against a gap doubled at once by a whole window of set-ups that were sent before it began.
-        if (far.silent() && sentAt < far.gap.grownAt) {
+        // Set-ups sent before the gap last grew must not double it again: a full window would do so at once.
+        if (exchange.isGapped() && sentAt < exchange.gap.grownAt) {
             return;
         }
-        if (far.missed >= figures.silentAfter || far.silent()) {
-            if (!far.silent()) {
-                host.log("exchange " + far.place + " is gapped");
+        if (exchange.missedAnswers >= parameters.gapAfterMissedAnswers || exchange.isGapped()) {
+            if (!exchange.isGapped()) {
+                host.log("exchange " + exchange.place
+                        + " is overloaded or unresponsive, call gapping started");
             }
-            far.gap.grow(now, (long) (figures.silentGap * gapScale),
-                    (long) (figures.silentGapMax * gapScale));
+            exchange.gap.grow(now, (long) (parameters.silentGapMicros * gapScale),
+                    (long) (parameters.silentGapMaxMicros * gapScale));
         }
     }
 
-    private void goodAnswer(long now, Far far) {
-        if (far.silent()) {
-            far.gap.length /= figures.silentGapDivisor;
-            if (far.gap.length < figures.silentGap * gapScale) {
-                far.gap.length = 0;
-                host.log("exchange " + far.place + " answers again");
+    private void recordGoodAnswer(long now, FarExchange exchange) {
+        if (exchange.isGapped()) {
+            exchange.gap.lengthMicros /= parameters.silentGapDivisor;
+            if (exchange.gap.lengthMicros < parameters.silentGapMicros * gapScale) {
+                exchange.gap.lengthMicros = 0;
+                host.log("exchange " + exchange.place + " answers again, call gapping ended");
             }
-            if (far.missed > 0 && now - far.missedSince >= figures.silentRestart) {
-                startCold(far, now, now);
+            if (exchange.missedAnswers > 0
+                    && now - exchange.missedAnswersSince >= parameters.silentRestartMicros) {
+                startColdPeriod(exchange, now, now);
             }
         }
-        far.missed = 0;
-        if (++far.good >= figures.goodAnswers) {
-            far.good = 0;
-            far.window = Math.min(figures.windowMax, far.window + figures.windowGain);
+        exchange.missedAnswers = 0;
+        if (++exchange.goodAnswers >= parameters.goodAnswers) {
+            exchange.goodAnswers = 0;
+            exchange.window = Math.min(parameters.windowMax, exchange.window + parameters.windowGain);
         }
     }
 
     /**
-     * A set-up went unanswered or was answered late. Where several in a row did, toward more than one
-     * exchange, the own processor is what they share, and its window is cut in place of theirs. Guards
-     * against a slow or crowded own processor. May hurt where most exchanges are slow at once: this one then
-     * sends less to all.
+     * Records a set-up that was answered late or not at all. Several in succession, toward more than one
+     * exchange, point to the own processor as their common cause, whose window is then cut instead of theirs.
+     * Protects against a slow or overloaded own processor. Drawback: where most exchanges are slow at once,
+     * this one sends less to all.
      */
-    private void badAnswer(long now, Far far, long sentAt, boolean unanswered) {
-        badAnswers++;
-        badFromSeveral |= lastBad != null && lastBad != far;
-        lastBad = far;
-        if (badFromSeveral && badAnswers >= figures.ownBadAnswers) {
-            own.good = 0;
-            own.window = Math.max(figures.ownWindowMin,
-                    Math.min(own.window, own.unanswered + 1) - figures.windowCut);
+    private void recordBadAnswer(long now, FarExchange exchange, long sentAt, boolean unanswered) {
+        consecutiveBadAnswers++;
+        badAnswersFromSeveral |= lastBadExchange != null && lastBadExchange != exchange;
+        lastBadExchange = exchange;
+        if (badAnswersFromSeveral && consecutiveBadAnswers >= parameters.ownBadAnswers) {
+            ownProcessor.goodAnswers = 0;
+            ownProcessor.window = Math.max(parameters.ownWindowMin,
+                    Math.min(ownProcessor.window, ownProcessor.unanswered + 1) - parameters.windowCut);
             return;
         }
         if (unanswered) {
-            noGoodAnswer(now, far, sentAt);
+            recordMissedAnswer(now, exchange, sentAt);
         }
-        cut(far);
+        cutWindow(exchange);
     }
 
-    private void ownGood() {
-        badAnswers = 0;
-        badFromSeveral = false;
-        lastBad = null;
-        if (++own.good >= figures.goodAnswers) {
-            own.good = 0;
-            own.window = Math.min(figures.windowMax, own.window + figures.windowGain);
+    private void recordOwnGoodAnswer() {
+        consecutiveBadAnswers = 0;
+        badAnswersFromSeveral = false;
+        lastBadExchange = null;
+        if (++ownProcessor.goodAnswers >= parameters.goodAnswers) {
+            ownProcessor.goodAnswers = 0;
+            ownProcessor.window = Math.min(parameters.windowMax, ownProcessor.window + parameters.windowGain);
         }
     }
 
-    private long slowAfter(Call call) {
+    /** Returns the duration above which an answer counts as late. */
+    private long slowThreshold(Call call) {
         return settings.resend() > 0 ? settings.resend()
-                : (long) (figures.slowShare * settings.classes().get(call.callClass()).aim());
+                : (long) (parameters.slowShare * settings.classes().get(call.callClass()).aim());
     }
 
-    private void cut(Far far) {
-        far.good = 0;
-        far.window = Math.max(figures.windowMin, far.window - figures.windowCut);
+    private void cutWindow(FarExchange exchange) {
+        exchange.goodAnswers = 0;
+        exchange.window = Math.max(parameters.windowMin, exchange.window - parameters.windowCut);
     }
 
     // Final answers.
 
-    private void refuse(Held held, long retryAfter) {
-        CallClass callClass = settings.classes().get(held.call.callClass());
-        boolean mayRefuse = held.maybeRanAt == null || callClass.effect() == Effect.SAFE
+    /**
+     * Refuses a call, or fails it where an attempt may have been executed and a repeat would not be
+     * recognized.
+     */
+    private void refuse(CallState state, long retryAfter) {
+        CallClass callClass = settings.classes().get(state.call.callClass());
+        boolean mayRefuse = state.maybeExecutedBy == null || callClass.effect() == Effect.SAFE
                 || callClass.effect() == Effect.KEYED && callClass.group() == RepeatGroup.ALL;
         if (mayRefuse) {
-            host.refuse(held.call.id(), settings.retryAfter() ? Math.min(retryAfter,
+            host.refuse(state.call.id(), settings.retryAfter() ? Math.min(retryAfter,
                     settings.maxRetryAfter()) : 0);
         } else {
-            host.fail(held.call.id());
+            host.fail(state.call.id());
         }
-        if (!held.call.transit() && held.call.number() != 0) {
-            rememberRefused(held, callClass);
+        if (!state.call.transit() && state.call.number() != 0) {
+            rememberRefused(state, callClass);
         }
-        close(held);
+        close(state);
     }
 
-    private void rememberRefused(Held held, CallClass callClass) {
-        long first = held.aimAt - callClass.aim();
-        Iterator<Long> oldest = refused.values().iterator();
+    private void rememberRefused(CallState state, CallClass callClass) {
+        long first = state.aimAt - callClass.aim();
+        Iterator<Long> oldest = refusedNumbers.values().iterator();
         while (oldest.hasNext() && first - oldest.next() > callClass.deadline()) {
             oldest.remove();
         }
-        refused.putIfAbsent(held.call.number(), first);
+        refusedNumbers.putIfAbsent(state.call.number(), first);
     }
 
-    private void stopWaiting(Held held) {
-        if (held.waits) {
-            held.waits = false;
-            waiting.remove(held);
+    private void removeFromHeldCalls(CallState state) {
+        if (state.heldAtSource) {
+            state.heldAtSource = false;
+            heldCalls.remove(state);
         }
     }
 
-    /** The caller's time is up. */
-    private void giveUp(Held held) {
-        host.fail(held.call.id());
-        close(held);
+    /** Fails a call whose deadline has come. */
+    private void failAtDeadline(CallState state) {
+        host.fail(state.call.id());
+        close(state);
     }
 
-    /** No answer is owed any longer; an attempt still out is withdrawn and its outcome awaited. */
-    private void close(Held held) {
-        if (held.closed) {
+    /**
+     * Closes a call that needs no final answer any longer; a pending attempt is cancelled and its outcome
+     * awaited.
+     */
+    private void close(CallState state) {
+        if (state.closed) {
             return;
         }
-        held.closed = true;
-        stopWaiting(held);
-        if (!held.out) {
-            calls.remove(held.call.id());
+        state.closed = true;
+        removeFromHeldCalls(state);
+        if (!state.attemptPending) {
+            calls.remove(state.call.id());
         } else if (settings.cancel()) {
-            host.cancel(held.call.id(), held.attempts - 1);
+            host.cancel(state.call.id(), state.attempts - 1);
         }
     }
 
-    /** Whether a class allows another send after an attempt that may have run. */
-    private boolean mayRepeat(long now, Held held, Far far) {
-        CallClass callClass = settings.classes().get(held.call.callClass());
-        if (held.maybeRanAt == null || callClass.effect() == Effect.SAFE) {
+    /**
+     * Whether the class of a call allows an attempt at an exchange, given that an earlier one may have been
+     * executed.
+     */
+    private boolean mayRepeat(long now, CallState state, FarExchange exchange) {
+        CallClass callClass = settings.classes().get(state.call.callClass());
+        if (state.maybeExecutedBy == null || callClass.effect() == Effect.SAFE) {
             return true;
         }
-        return callClass.effect() == Effect.KEYED && now - held.maybeRanSince < callClass.repeatWindow()
-                && (callClass.group() == RepeatGroup.ALL || far == held.maybeRanAt);
+        return callClass.effect() == Effect.KEYED && now - state.maybeExecutedSince < callClass.repeatWindow()
+                && (callClass.group() == RepeatGroup.ALL || exchange == state.maybeExecutedBy);
     }
 
     // Hot numbers.
 
-    private void numberBusy(long now, long number) {
+    private void recordBusyNumber(long now, long number) {
         if (number == 0) {
             return;
         }
-        hot.values().removeIf(h -> now - h.busyAt > figures.hotMemory);
-        Hot h = hot.computeIfAbsent(number, n -> new Hot());
-        h.busyAt = now;
-        h.gap.grow(now, figures.hotGap, figures.hotGapMax);
+        hotNumbers.values().removeIf(hotNumber -> now - hotNumber.busyAt > parameters.hotMemoryMicros);
+        HotNumber hotNumber = hotNumbers.computeIfAbsent(number, n -> new HotNumber());
+        hotNumber.busyAt = now;
+        hotNumber.gap.grow(now, parameters.hotGapMicros, parameters.hotGapMaxMicros);
     }
 
-    /** How long a call to a number must still be held back; a call let through starts the next gap. */
-    private long holdNumber(long now, long number) {
-        Hot h = hot.get(number);
-        if (h == null || now - h.busyAt > figures.hotMemory) {
+    /** Returns the time left in the gap for a number; 0 admits the call, which starts the next gap. */
+    private long remainingNumberGap(long now, long number) {
+        HotNumber hotNumber = hotNumbers.get(number);
+        if (hotNumber == null || now - hotNumber.busyAt > parameters.hotMemoryMicros) {
             return 0;
         }
-        if (now < h.gap.until) {
-            return h.gap.until - now;
+        if (now < hotNumber.gap.until) {
+            return hotNumber.gap.until - now;
         }
-        h.gap.until = now + h.gap.length;
+        hotNumber.gap.until = now + hotNumber.gap.lengthMicros;
         return 0;
     }
 
-    // What is known of exchanges.
+    // State of the exchanges.
 
-    private Far at(int place) {
-        Far best = null;
-        for (Far far : byPlace.getOrDefault(place, List.of())) {
-            if (far.readiness == Readiness.READY && (best == null || far.upSince > best.upSince)) {
-                best = far;
+    /** Returns the ready exchange at a place that was started last, or null. */
+    private FarExchange readyExchangeAt(int place) {
+        FarExchange best = null;
+        for (FarExchange exchange : exchangesByPlace.getOrDefault(place, List.of())) {
+            if (exchange.readiness == Readiness.READY && (best == null || exchange.upSince > best.upSince)) {
+                best = exchange;
             }
         }
         return best;
     }
 
-    private void learnEntry(long now, Exchange entry) {
-        Far far = byAddress.get(entry.address());
-        if (far == null && entry.readiness() == Readiness.GONE) {
+    private void updateExchange(long now, Exchange entry) {
+        FarExchange exchange = exchangesByAddress.get(entry.address());
+        if (exchange == null && entry.readiness() == Readiness.GONE) {
             return;
         }
-        if (far == null) {
-            far = new Far(entry.address(), entry.place(), figures.windowStart);
-            byAddress.put(entry.address(), far);
-            byPlace.computeIfAbsent(far.place, p -> new ArrayList<>()).add(far);
-            fars.add(far);
-        }
-        far.readiness = entry.readiness();
-        if (entry.upSince() > far.upSince) {
-            far.upSince = entry.upSince();
-            // What went unanswered was the old processor's; the new one's credit bounds what is sent.
-            far.gap.length = 0;
-            far.missed = 0;
-            if (now - far.upSince < settings.obligations().cold()) {
-                startCold(far, now, far.upSince);
+        if (exchange == null) {
+            exchange = new FarExchange(entry.address(), entry.place(), parameters.windowStart);
+            exchangesByAddress.put(entry.address(), exchange);
+            exchangesByPlace.computeIfAbsent(exchange.place, p -> new ArrayList<>()).add(exchange);
+            exchanges.add(exchange);
+        }
+        exchange.readiness = entry.readiness();
+        if (entry.upSince() > exchange.upSince) {
+            exchange.upSince = entry.upSince();
+            // The missed answers were those of the previous process; the cold credit now limits the set-ups.
+            exchange.gap.lengthMicros = 0;
+            exchange.missedAnswers = 0;
+            if (now - exchange.upSince < settings.obligations().cold()) {
+                startColdPeriod(exchange, now, exchange.upSince);
             }
         }
     }
 
-    private void learnGroup(Far far, Report report) {
+    private void updateCircuits(FarExchange exchange, Report report) {
         if (!Double.isNaN(report.free())) {
-            far.free = report.free();
+            exchange.freeCircuits = report.free();
         }
-        if (!Double.isNaN(report.circuits()) && far.readiness != Readiness.GONE) {
-            allCircuits += report.circuits() - (Double.isNaN(far.circuits) ? 0 : far.circuits);
-            far.circuits = report.circuits();
+        if (!Double.isNaN(report.circuits()) && exchange.readiness != Readiness.GONE) {
+            totalCircuits += report.circuits() - (Double.isNaN(exchange.circuits) ? 0 : exchange.circuits);
+            exchange.circuits = report.circuits();
         }
     }
 
-    private void startCold(Far far, long now, long since) {
-        far.cold = true;
-        far.coldSince = since;
-        far.coldCredit = random.nextDouble();
-        far.creditAt = now;
-        far.window = Math.min(far.window, figures.windowCold);
-        far.good = 0;
-        host.log("exchange " + far.place + " is cold");
+    private void startColdPeriod(FarExchange exchange, long now, long since) {
+        exchange.cold = true;
+        exchange.coldSince = since;
+        exchange.coldCredit = random.nextDouble();
+        exchange.coldCreditAt = now;
+        exchange.window = Math.min(exchange.window, parameters.windowCold);
+        exchange.goodAnswers = 0;
+        host.log("exchange " + exchange.place + " is cold, set-ups limited");
     }
 
     /**
-     * Whether a processor is still held to be cold; if so, its credit of set-ups grows by this sender's share
-     * of what all may send. Kept in fractions: guards against many senders with shares below one;
-     * random at the start, so that senders who hear of it together do not send together. May hurt where few
-     * want to call: what the others leave is not used.
+     * Whether a processor still counts as cold; if so, its credit of set-ups grows by this sender's share of
+     * the total that all senders may send. The credit is fractional, because with many senders each share is
+     * below one, and random at the start, so that senders notified at the same time do not send at the same
+     * time. Drawback: where few senders have calls, the shares of the others stay unused.
      */
-    private boolean isCold(long now, Far far) {
-        if (far.cold && now - far.coldSince > settings.obligations().cold()) {
-            far.cold = false;
+    private boolean isCold(long now, FarExchange exchange) {
+        if (exchange.cold && now - exchange.coldSince > settings.obligations().cold()) {
+            exchange.cold = false;
         }
-        if (far.cold) {
-            double since = (now - far.creditAt) / 1_000_000.0;
-            far.coldCredit = Math.min(1, far.coldCredit) + since * coldRate(now, far);
-            far.creditAt = now;
+        if (exchange.cold) {
+            double since = (now - exchange.coldCreditAt) / 1_000_000.0;
+            exchange.coldCredit = Math.min(1, exchange.coldCredit) + since * coldRate(now, exchange);
+            exchange.coldCreditAt = now;
         }
-        return far.cold;
+        return exchange.cold;
     }
 
     /**
-     * Set-ups a second that this sender may send a cold processor: the rule's multiple of its usual rate
-     * toward it, told by the own subscribers' calls and the groups, so that all shares add up to the whole.
+     * Returns the set-ups per second that this sender may send to a cold processor: the multiple set by the
+     * rule of this sender's baseline rate toward it. The baseline is derived from the calls of the own
+     * subscribers and from the sizes of the groups, so that the shares of all senders add up to the total.
      */
-    private double coldRate(long now, Far far) {
+    private double coldRate(long now, FarExchange exchange) {
         Obligations rules = settings.obligations();
-        double rate = ownRate / (1 - Math.exp((startedAt - now - figures.rateLeastTime) / figures.rateTime));
-        double part = Double.isNaN(far.circuits) || allCircuits == 0
-                ? 1.0 / Math.max(1, settings.softswitches() - 1) : far.circuits / allCircuits;
-        return figures.coldSafety * rules.fallMultiple() * rules.coldShare()
-                * figures.capacityPerOwnCall * rate * part;
+        double rate = ownCallRate / (1 - Math.exp(
+                (startedAt - now - parameters.rateMinTimeMicros) / parameters.rateTimeConstantMicros));
+        double part = Double.isNaN(exchange.circuits) || totalCircuits == 0
+                ? 1.0 / Math.max(1, settings.softswitches() - 1) : exchange.circuits / totalCircuits;
+        return parameters.coldSafety * rules.fallMultiple() * rules.coldShare()
+                * parameters.capacityPerOwnCall * rate * part;
     }
 
     private static long token(long kind, long id) {
--- a/src/test/java/wingspread/control/RulesTest.java
+++ b/src/test/java/wingspread/control/RulesTest.java
@@ -237,7 +237,7 @@
             early = i == 40 ? host.sends.size() : early;
         }
         assertTrue(host.sends.size() - early < 8, "later set-ups: " + (host.sends.size() - early));
-        assertTrue(host.lines.contains("exchange 1 is gapped"));
+        assertTrue(host.lines.contains("exchange 1 is overloaded or unresponsive, call gapping started"));
     }
 
     @Test
@@ -254,7 +254,7 @@
         host.pass(5 * RecordingHost.SECOND);
         host.call(1);
         host.stand();
-        assertTrue(host.lines.contains("exchange 1 is cold"));
+        assertTrue(host.lines.contains("exchange 1 is cold, set-ups limited"));
     }
 
     @Test
--- a/src/test/java/wingspread/control/WindowTest.java
+++ b/src/test/java/wingspread/control/WindowTest.java
@@ -354,7 +354,7 @@
             }
             host.pass(50_000);
         }
-        assertTrue(host.lines.contains("exchange 1 is gapped"));
+        assertTrue(host.lines.contains("exchange 1 is overloaded or unresponsive, call gapping started"));
         assertTrue(host.sends.size() < 20, host.sends.size() + " set-ups to a processor that refuses them all");
     }
 
