--- a/src/main/java/wingspread/control/ExchangeLiveness.java
+++ b/src/main/java/wingspread/control/ExchangeLiveness.java
@@ -1,133 +1,135 @@
 package wingspread.control;
 
 /**
- * Decides whether an exchange with calls standing on it is still there: a failure detector for one
- * exchange, which needs no probe. Every message from the exchange is a sign of life. After a while without
- * one the host is asked for a fresh connection, on which a live exchange speaks first. Where fresh
- * connections stay silent for long enough, whether or not they come up, the exchange counts as down, and
- * the calls on it as over.
+ * A failure detector for one exchange with established calls, which needs no probe messages. Every message
+ * from the exchange is a heartbeat. After some time without one, the detector requests checks: new
+ * connections, on which a live exchange sends the first message. If no message arrives on several checks,
+ * whether or not their connections are established, the exchange counts as down and its calls as ended.
  *
- * <p>The limit comes from the platform's protocol page: callers must be told within 8 s of a call's end, if
- * no release could be sent. An exchange may have vanished right after its last message, so the silence is
- * counted from that message and the limit keeps a margin to tell the callers. It is as long as the rule
- * allows, since an exchange that is only cut off for some seconds keeps its calls.
+ * <p>The limit follows from the platform's protocol: callers must be notified within 8 s of the end of a call
+ * if no release could be sent. An exchange may have failed right after its last message, so the time is
+ * counted from that message, and the limit leaves a margin to notify the callers. It is otherwise as long as
+ * the protocol allows, because an exchange that is only unreachable for some seconds keeps its calls.
  *
- * <p>All times are microseconds on the host's clock. Free of I/O; confined to one thread.
+ * <p>All times are microseconds on the host's clock. The class does no I/O and is confined to one thread.
  */
 public final class ExchangeLiveness {
-    /** Silence after which a fresh connection is asked for. */
-    static final long QUIET = 3_000_000;
-    /** The same while the program ends: whoever is silent must be known before it exits. */
-    static final long QUIET_AT_END = 300_000;
-    /** From one fresh connection to the next, while nothing is heard. */
-    static final long BETWEEN_CHECKS = 550_000;
-    /** Silence after which the exchange counts as down. */
-    static final long SILENCE_LIMIT = 7_400_000;
+    /** The time without a message after which checks begin. */
+    static final long CHECK_AFTER_MICROS = 3_000_000;
+    /** The same during shutdown, as unresponsive exchanges must be known before the process exits. */
+    static final long SHUTDOWN_CHECK_AFTER_MICROS = 300_000;
+    /** The interval between checks while no message arrives. */
+    static final long CHECK_INTERVAL_MICROS = 550_000;
+    /** The time without a message after which the exchange counts as down. */
+    static final long DOWN_AFTER_MICROS = 7_400_000;
     /**
-     * Fresh connections that must have stayed silent by then. Guards against connections that do not come up
-     * though the exchange lives, and against a host that did not run for some seconds itself.
+     * The minimum number of checks without a message before the exchange counts as down; the first of the
+     * last {@code MIN_CHECKS} ones must have timed out. Prevents false detections where connections are not
+     * established although the exchange is alive, or the host itself did not run for some seconds.
      */
-    static final int LEAST_CHECKS = 4;
-    /** A fresh connection that is silent for so long has told nothing; some come up a second late. */
-    static final long CHECK_TAKES = 1_100_000;
-    /** At the end of the program a shorter time has to do. */
-    static final long CHECK_TAKES_AT_END = 300_000;
+    static final int MIN_CHECKS = 4;
+    /** The time after which a check has failed; some connections are only established after a second. */
+    static final long CHECK_TIMEOUT_MICROS = 1_100_000;
+    /** The same during shutdown, when less time is available. */
+    static final long SHUTDOWN_CHECK_TIMEOUT_MICROS = 300_000;
 
-    /** What to do now. */
+    /** What the host has to do next. */
     public enum Step {
         /** Nothing until the time of {@link #due}. */
         WAIT,
-        /** Open a fresh connection, and say so by {@link #checked}. */
+        /** Open a new connection, and report it by {@link #checked} or {@link #notChecked}. */
         CHECK,
-        /** Nothing was heard for so long that its calls count as over. */
+        /** The exchange is down; its calls count as ended. */
         DOWN
     }
 
     private long heardAt;
     private long checkedAt;
     private long firstCheckAt;
-    private int checks;
-    /** When the last check but three was made: the one that must have had its time. */
-    private final long[] checkTimes = new long[LEAST_CHECKS];
-    private boolean ending;
+    private int checkCount;
+    /** The times of the last checks, as a ring buffer. */
+    private final long[] checkTimes = new long[MIN_CHECKS];
+    private boolean shuttingDown;
 
-    /** An exchange that was heard now. */
+    /** Creates a detector for an exchange that has just sent a message. */
     public ExchangeLiveness(long now) {
         heard(now);
     }
 
-    /** Something came from the exchange, on any connection. */
+    /** Records a message from the exchange, on any connection. */
     public void heard(long now) {
         heardAt = now;
-        checks = 0;
+        checkCount = 0;
     }
 
-    /** When it was last heard. */
+    /** Returns the time of the last message from the exchange. */
     public long heardAt() {
         return heardAt;
     }
 
-    /** A fresh connection is being opened. */
+    /** Records that a new connection is being opened as a check. */
     public void checked(long now) {
-        if (checks == 0) {
+        if (checkCount == 0) {
             firstCheckAt = now;
         }
-        checkTimes[checks % LEAST_CHECKS] = now;
+        checkTimes[checkCount % MIN_CHECKS] = now;
         checkedAt = now;
-        checks++;
+        checkCount++;
     }
 
-    /** No fresh connection could be opened, for reasons of this side: that tells nothing of the exchange. */
+    /** Records that this side could not open a connection, which gives no evidence about the exchange. */
     public void notChecked(long now) {
         checkedAt = now;
     }
 
-    /** The program ends soon: silence is looked into sooner. */
+    /** Switches to the shorter times for shutdown. */
     public void hurry() {
-        ending = true;
+        shuttingDown = true;
     }
 
-    /** What to do now; the same until something changes. */
+    /** Returns the next step; the same one until the time advances or an event is recorded. */
     public Step next(long now) {
-        if (now >= heardAt + SILENCE_LIMIT && enoughChecks(now)) {
+        if (now >= heardAt + DOWN_AFTER_MICROS && enoughChecks(now)) {
             return Step.DOWN;
         }
         return now >= nextCheck() ? Step.CHECK : Step.WAIT;
     }
 
-    /** When {@link #next} is worth asking again, having been asked now. */
+    /** Returns when {@link #next} should be called again, after a call at {@code now}. */
     public long due(long now) {
-        long limit = heardAt + SILENCE_LIMIT;
+        long limit = heardAt + DOWN_AFTER_MICROS;
         return limit > now ? Math.min(nextCheck(), limit) : nextCheck();
     }
 
     private long nextCheck() {
-        long quiet = heardAt + (ending ? QUIET_AT_END : QUIET);
-        return checkedAt > heardAt ? Math.max(quiet, checkedAt + BETWEEN_CHECKS) : quiet;
+        long firstCheck = heardAt + (shuttingDown ? SHUTDOWN_CHECK_AFTER_MICROS : CHECK_AFTER_MICROS);
+        return checkedAt > heardAt ? Math.max(firstCheck, checkedAt + CHECK_INTERVAL_MICROS) : firstCheck;
     }
 
-    /** Whether that many checks have had their time and brought nothing. */
+    /** Whether there were enough checks without a message, and the first of the last ones has timed out. */
     private boolean enoughChecks(long now) {
-        return checks >= LEAST_CHECKS && now >= checkTimes[checks % LEAST_CHECKS] + CHECK_TAKES;
+        return checkCount >= MIN_CHECKS && now >= checkTimes[checkCount % MIN_CHECKS] + CHECK_TIMEOUT_MICROS;
     }
 
     /**
-     * Whether an exchange cannot hold all calls that stand on it: on a fresh connection it first tells how
-     * many circuits of the group between it and this exchange are free, and fewer are busy than the calls
-     * need. So a process that was replaced or started again is told from one that was cut off, though both
-     * speak again.
+     * Whether an exchange has lost calls. On a new connection it first reports the free circuits of the group
+     * to this exchange; if fewer circuits are busy than the established calls occupy, it does not hold all of
+     * them. This distinguishes a process that was replaced or restarted from one that was only unreachable,
+     * as both send messages again.
      *
-     * @param width circuits that the calls hold which stood before the connection came up
+     * @param first the first report on the new connection
+     * @param width the circuits occupied by calls that were established before the connection
      */
     public static boolean lacksCalls(CallControl.Report first, double width) {
         return first.circuits() > 0 && first.circuits() - first.free() < width;
     }
 
     /**
-     * Whether it is silent though it was asked to speak. At the end of the program its calls are given up: no
-     * successor would know them, and nobody could tell their callers that they are over.
+     * Whether the exchange has not responded to a check for some time. At shutdown its calls are ended,
+     * because a successor of this process would not know them and nobody could notify their callers of the
+     * end.
      */
     public boolean suspect(long now) {
-        return checks > 0 && now >= firstCheckAt + CHECK_TAKES_AT_END;
+        return checkCount > 0 && now >= firstCheckAt + SHUTDOWN_CHECK_TIMEOUT_MICROS;
     }
 }
--- a/src/main/java/wingspread/control/Figures.java
+++ b/src/main/java/wingspread/control/Figures.java
@@ -2,135 +2,162 @@
 
 import java.util.Map;
 
-/** The figures of the window control; each says what it is, its usual value, its least and its most. */
+/**
+ * The parameters of {@link WindowControl}. Each is declared with its name, its default, its minimum and its
+ * maximum.
+ */
 public final class Figures extends NamedFigures {
-    /** The usual figures. */
+    /** The default parameters. */
     public static final Figures USUAL = new Figures(Map.of());
 
-    // The window, from the paper's table IV.
+    // The window, after table IV of the paper of Noel and Johnson.
 
-    /** Bounds of a window. */
+    /** The upper bound of a window. */
     final double windowMax = number("window-max", 100, 1, 10000);
+    /** The lower bound of a window. */
     final double windowMin = number("window-min", 0.5, 0, 100);
-    /** Gain of a window each time the counter of good answers is full, and its loss on a bad one. */
+    /** The increase of a window after each {@link #goodAnswers} good answers. */
     final double windowGain = number("window-gain", 0.1, 0, 100);
+    /** The decrease of a window on a bad answer. */
     final double windowCut = number("window-cut", 0.5, 0, 100);
-    final int goodAnswers = whole("good-answers", 2, 1, 1000);
+    /** The number of good answers that increase a window. */
+    final int goodAnswers = integer("good-answers", 2, 1, 1000);
     /**
-     * An answer that took longer than this share of the aim, or than the resend timer where there is one, is
-     * a bad one: the paper assumes processors that refuse before that.
+     * The share of the aim after which an answer counts as bad; where there is a resend timer, its time
+     * counts instead. The paper assumes processors that refuse a set-up before that time.
      */
     final double slowShare = number("slow-share", 0.4, 0, 1);
-    /** Window at the start. */
+    /** The initial window. */
     final double windowStart = number("window-start", 2, 0, 10000);
-    /**
-     * The own processor has a window too, over all set-ups from here: its start and its least. It is cut when
-     * so many bad answers in a row come from more than one exchange, and then in place of theirs.
-     */
+    /** The initial window of the own processor, which limits all set-ups from here. */
     final double ownWindowStart = number("own-window-start", 10, 1, 10000);
+    /** The lower bound of the window of the own processor. */
     final double ownWindowMin = number("own-window-min", 1, 1, 10000);
-    final int ownBadAnswers = whole("own-bad-answers", 3, 1, 1000);
-    /** Window toward a processor that has just started: it grows from here on its answers. */
+    /**
+     * The number of consecutive bad answers, from more than one exchange, from which on the window of the own
+     * processor is cut instead of theirs.
+     */
+    final int ownBadAnswers = integer("own-bad-answers", 3, 1, 1000);
+    /** The window toward a processor that has just started; it grows from here with its good answers. */
     final double windowCold = number("window-cold", 2, 0, 10000);
 
-    // Routes.
+    // Routing.
 
     /**
-     * Circuits kept for direct calls on a group, in square roots of its size times the mean width of the
-     * classes: trunk reservation. Wide calls make the occupied circuits vary more.
+     * Trunk reservation: the circuits of a group kept for direct calls, as a multiple of the square root of
+     * its size times the mean width of the classes. The width counts because wide calls increase the variance
+     * of the occupied circuits.
      */
     final double reserve = number("reserve", 0.6, 0, 10);
     /**
-     * But no more than this share of what the group has beside the widest call: where exchanges are many,
-     * groups are of few circuits and the root is half of them. May hurt where those are full.
+     * The maximum reserve, as a share of the group's circuits less the widest call. Where exchanges are many,
+     * groups have few circuits, of which the square root would be half. Drawback: direct calls have less
+     * protection where such groups are full.
      */
     final double reserveShare = number("reserve-share", 0.2, 0, 1);
-    /** Tandems tried for one call at the most; each further one costs a third processor its work. */
-    final int maxTandemsPerCall = whole("tandems", 2, 0, 5);
-    /** Turn-backs in a row after which calls to a destination pause before they try tandems; the pause. */
-    final int crankbacksBeforePause = whole("turn-backs", 2, 1, 1000);
+    /** The maximum number of tandems tried for one call; each one costs a third processor work. */
+    final int maxTandemsPerCall = integer("tandems", 2, 0, 5);
+    /** The number of consecutive crankbacks after which calls to a destination pause their use of tandems. */
+    final int crankbacksBeforePause = integer("turn-backs", 2, 1, 1000);
+    /** The first pause; each further crankback doubles it. */
     final long alternateGapMicros = time("alternate-gap", 250_000, 0, 60_000_000);
+    /** The longest pause. */
     final long alternateGapMaxMicros = time("alternate-gap-max", 8_000_000, 0, 60_000_000);
 
-    /**
-     * The window over all sends to tandems from here, at most one and so a probability: its least, its gain
-     * when a call stands over a tandem, and its loss when one does not, by the share of senders beyond few.
-     * With very many senders it shrinks while fewer than one in five stands.
-     */
+    /** The minimum of the probability with which a blocked call may try a tandem. */
     final double tandemProbabilityMin = number("round-min", 0.1, 0, 1);
+    /** The increase of that probability when a call is established over a tandem. */
     final double tandemProbabilityGain = number("round-gain", 0.5, 0, 1);
+    /**
+     * The decrease of that probability on a crankback, scaled by the share of senders above
+     * {@link #fewSenders}. With very many senders the probability falls while fewer than one call in five is
+     * established.
+     */
     final double tandemProbabilityCut = number("round-cut", 0.12, 0, 1);
 
     /**
-     * Signalling faults, answered at once and holding nothing, after which a call is sent again: guards
-     * against an exchange that answers most set-ups so, by chance. May hurt where it costs a busy one work.
+     * The maximum number of signalling faults of a call after which it is sent again. Such a fault is
+     * answered at once and occupies no circuits. Protects against an exchange that answers most set-ups with
+     * random faults. Drawback: the repeats cost a busy exchange work.
      */
-    final int maxFaultRetries = whole("faults-retried", 5, 0, 6);
+    final int maxFaultRetries = integer("faults-retried", 5, 0, 6);
 
     // Time.
 
-    /** A final answer is given so long before the caller's time is up: two ticks of a usual host. */
+    /** The margin of the final answer before the caller's deadline: two ticks of a typical host. */
     final long answerMarginMicros = time("answer-margin", 10_000, 0, 1_000_000);
-    /** An attempt with less time than this is not worth its work. */
+    /** The minimum time for an attempt; with less, it is not worth its work. */
     final long minAttemptMicros = time("least-limit", 50_000, 0, 10_000_000);
-    /** First wait before a failed call to the list of exchanges is repeated; it doubles up to the longest. */
+    /** The first wait before a failed request for the list of exchanges is repeated; it doubles each time. */
     final long listRetryMicros = time("list-retry", 1_000_000, 1_000, 60_000_000);
+    /** The longest wait before that request is repeated. */
     final long listRetryMaxMicros = time("list-retry-max", 8_000_000, 1_000, 600_000_000);
 
-    // Calls held at source, and redials.
+    // Calls held at source.
 
-    /** A blocked call is held until this share of its aim has passed; the rest is for the set-up. */
+    /** The share of its aim for which a blocked call is held; the rest is left for the set-up. */
     final double holdShare = number("hold-share", 0.8, 0, 1);
 
-    // Processors that are cold or silent.
+    // Processors that are cold or unresponsive.
 
-    /** Share of the cold budget that is used: the estimate of capacity may be off. */
+    /** The share of the budget of a cold processor that is used, as the capacity is an estimate. */
     final double coldSafety = number("cold-safety", 0.8, 0, 1);
-    /** A processor's capacity in set-ups, over the calls that an exchange's own subscribers offer. */
+    /** The capacity of a processor in set-ups, as a multiple of the calls offered by its own subscribers. */
     final double capacityPerOwnCall = number("capacity-per-own-call", 2, 0, 100);
-    /** Unanswered set-ups in a row after which a processor counts as silent. */
-    final int gapAfterMissedAnswers = whole("silent-after", 2, 1, 1000);
+    /** The number of consecutive unanswered set-ups after which a processor counts as unresponsive. */
+    final int gapAfterMissedAnswers = integer("silent-after", 2, 1, 1000);
     /**
-     * A silent processor gets one set-up in this time, a window of less than its least. The gap doubles with
-     * each set-up that goes unanswered and is divided with each good answer.
+     * The initial gap between set-ups to an unresponsive processor, which admits less than the minimum
+     * window. The gap doubles with each unanswered set-up and is divided with each good answer.
      */
     final long silentGapMicros = time("silent-gap", 500_000, 0, 60_000_000);
+    /** The longest gap between set-ups to an unresponsive processor. */
     final long silentGapMaxMicros = time("silent-gap-max", 4_000_000, 0, 600_000_000);
-    final int silentGapDivisor = whole("silent-gap-divisor", 3, 2, 100);
-    /** So few senders see a pair's trouble in time. With more, gaps grow in proportion: all call it. */
+    /** The divisor of the gap at each good answer. */
+    final int silentGapDivisor = integer("silent-gap-divisor", 3, 2, 100);
+    /**
+     * The number of senders up to which each pair detects a fault in time by itself. With more senders, gaps
+     * grow in proportion, because all of them call the same exchange.
+     */
     final double fewSenders = number("few-senders", 8, 1, 10000);
-    /** A processor that was silent for this long and answers again is held to have started anew. */
+    /** The time without good answers after which a processor that answers again counts as restarted. */
     final long silentRestartMicros = time("silent-restart", 4_000_000, 0, 600_000_000);
 
     // Hot numbers.
 
-    /** Gap between calls to a number whose lines were busy. */
+    /** The initial gap between calls to a number whose lines were busy; it doubles each time they are. */
     final long hotGapMicros = time("hot-gap", 500_000, 0, 60_000_000);
+    /** The longest gap between calls to such a number. */
     final long hotGapMaxMicros = time("hot-gap-max", 4_000_000, 0, 600_000_000);
-    /** A number is forgotten when it was not busy for so long. */
+    /** The time after which a number that was not busy again is forgotten. */
     final long hotMemoryMicros = time("hot-memory", 20_000_000, 0, 3_600_000_000L);
 
+    // The baseline rate of calls.
+
     /**
-     * Time constant of the usual rate at which own subscribers call, long beside a crowd's rise, and the
-     * least time that a rate is told from.
+     * The time constant of the baseline rate of calls from own subscribers; long compared with the rise of a
+     * flash crowd.
      */
     final double rateTimeConstantMicros = time("rate-time", 20_000_000, 1_000, 3_600_000_000L);
+    /** The minimum time from which a rate is derived. */
     final long rateMinTimeMicros = time("rate-least-time", 1_000_000, 0, 3_600_000_000L);
 
     /**
-     * The usual figures, but for those given by name; times in microseconds.
+     * Creates the default parameters with some overridden.
      *
-     * @throws IllegalArgumentException with one line that names the figure and what was expected of it
+     * @param given the overriding values by name; times in microseconds
+     * @throws IllegalArgumentException if a name is unknown or a value invalid, with one line that names the
+     *         parameter and what was expected
      */
     public Figures(Map<String, Double> given) {
         super(given);
-        noOthers();
-        ordered("window-min", "window-start");
-        ordered("window-start", "window-max");
-        ordered("own-window-min", "own-window-start");
-        ordered("alternate-gap", "alternate-gap-max");
-        ordered("list-retry", "list-retry-max");
-        ordered("silent-gap", "silent-gap-max");
-        ordered("hot-gap", "hot-gap-max");
+        rejectUnknownNames();
+        requireOrdered("window-min", "window-start");
+        requireOrdered("window-start", "window-max");
+        requireOrdered("own-window-min", "own-window-start");
+        requireOrdered("alternate-gap", "alternate-gap-max");
+        requireOrdered("list-retry", "list-retry-max");
+        requireOrdered("silent-gap", "silent-gap-max");
+        requireOrdered("hot-gap", "hot-gap-max");
     }
 }
--- a/src/main/java/wingspread/control/NamedFigures.java
+++ b/src/main/java/wingspread/control/NamedFigures.java
@@ -5,45 +5,56 @@
 import java.util.Map;
 
 /**
- * Figures that have a name, a usual value and bounds, and that a map of names may set otherwise. It decides
- * nothing: what the figures mean and which values are usual lies with the class that holds them.
+ * A set of named parameters with defaults and bounds, which a map by name may override. The meaning of the
+ * parameters and their defaults are defined by the subclass.
  */
 public abstract class NamedFigures {
-    /** What a figure counts in. */
+    /** The unit of a parameter. */
     public enum Unit { NONE, WHOLE, MICROSECONDS }
 
-    /** One figure as it is in force, with its usual value and its bounds, both of which are allowed. */
+    /**
+     * A parameter.
+     *
+     * @param value the value in force
+     * @param usual the default
+     * @param least the minimum, inclusive
+     * @param most  the maximum, inclusive
+     */
     public record Figure(String name, Unit unit, double value, double usual, double least, double most) { }
 
     private final Map<String, Double> given;
     private final List<Figure> all = new ArrayList<>();
 
-    /** Starts with the values that are given in place of usual ones, by name; times in microseconds. */
+    /**
+     * Creates a set without parameters, which the subclass adds.
+     *
+     * @param given the values that override defaults, by name; times in microseconds
+     */
     NamedFigures(Map<String, Double> given) {
         this.given = Map.copyOf(given);
     }
 
-    /** A figure without a unit. */
+    /** Adds a parameter without a unit and returns its value. */
     final double number(String name, double usual, double least, double most) {
-        return take(name, Unit.NONE, usual, least, most);
+        return add(name, Unit.NONE, usual, least, most);
     }
 
-    /** A figure that counts whole things. */
-    final int whole(String name, int usual, int least, int most) {
-        return (int) take(name, Unit.WHOLE, usual, least, most);
+    /** Adds a parameter with integer values and returns its value. */
+    final int integer(String name, int usual, int least, int most) {
+        return (int) add(name, Unit.WHOLE, usual, least, most);
     }
 
-    /** A time in microseconds. */
+    /** Adds a time in microseconds and returns its value. */
     final long time(String name, long usual, long least, long most) {
-        return (long) take(name, Unit.MICROSECONDS, usual, least, most);
+        return (long) add(name, Unit.MICROSECONDS, usual, least, most);
     }
 
-    private double take(String name, Unit unit, double usual, double least, double most) {
+    private double add(String name, Unit unit, double usual, double least, double most) {
         double value = given.getOrDefault(name, usual);
-        // Written so that NaN, which compares to nothing, is turned away too.
+        // The negated form also rejects NaN, for which every comparison is false.
         if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(name + " = " + value + " lies outside " + least + " to "
-                    + most);
+            throw new IllegalArgumentException(name + " = " + value + " is outside the range " + least
+                    + " to " + most);
         }
         if (unit != Unit.NONE && value != Math.rint(value)) {
             throw new IllegalArgumentException(name + " = " + value + " is not a whole number");
@@ -53,11 +64,11 @@
     }
 
     /**
-     * Ends the reading of what was given.
+     * Checks that each given name is the name of a parameter; called after all parameters were added.
      *
-     * @throws IllegalArgumentException where a name was given that no figure has
+     * @throws IllegalArgumentException if a name is unknown
      */
-    final void noOthers() {
+    final void rejectUnknownNames() {
         for (String name : given.keySet()) {
             if (all.stream().noneMatch(f -> f.name().equals(name))) {
                 throw new IllegalArgumentException("there is no figure '" + name + "'");
@@ -66,11 +77,11 @@
     }
 
     /**
-     * Checks a pair of figures of which one bounds the other.
+     * Checks a pair of parameters of which one bounds the other.
      *
-     * @throws IllegalArgumentException where the lower is above the upper
+     * @throws IllegalArgumentException if the lower one is above the upper one
      */
-    final void ordered(String lower, String upper) {
+    final void requireOrdered(String lower, String upper) {
         if (value(lower) > value(upper)) {
             throw new IllegalArgumentException(lower + " = " + value(lower) + " is above " + upper + " = "
                     + value(upper));
@@ -81,12 +92,12 @@
         return all.stream().filter(f -> f.name().equals(name)).findFirst().orElseThrow().value();
     }
 
-    /** What was given by name, usual values included; times in microseconds. */
+    /** Returns the given values by name, also those that equal the default; times in microseconds. */
     public final Map<String, Double> given() {
         return given;
     }
 
-    /** All figures in the order in which they are declared. */
+    /** Returns all parameters in the order in which they are declared. */
     public final List<Figure> all() {
         return List.copyOf(all);
     }
--- a/src/main/java/wingspread/turn/Deadlines.java
+++ b/src/main/java/wingspread/turn/Deadlines.java
@@ -3,32 +3,36 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Things to do at a time, in the order of their times and then of their adding. None can be taken back. */
+/** A queue of tasks with deadlines, run in the order of their times and then of addition. Tasks cannot be removed. */
 public final class Deadlines {
-    private record Entry(long at, long order, Runnable what) { }
+    private record Entry(long at, long order, Runnable task) { }
 
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(
             Comparator.comparingLong(Entry::at).thenComparingLong(Entry::order));
-    private long order;
+    private long nextOrder;
 
-    /** Adds something to do at a time. */
-    public void add(long at, Runnable what) {
-        entries.add(new Entry(at, order++, what));
+    /** Adds a task to run at a time. */
+    public void add(long at, Runnable task) {
+        entries.add(new Entry(at, nextOrder++, task));
     }
 
-    /** Does all that is due. */
+    /** Runs all tasks that are due, including those that they add. */
     public void play(long now) {
         while (next() <= now) {
-            entries.remove().what().run();
+            entries.remove().task().run();
         }
     }
 
-    /** Does the first thing, whenever it is due; there must be one. */
+    /**
+     * Runs the first task, even if it is not due yet.
+     *
+     * @throws java.util.NoSuchElementException if there is none
+     */
     public void playOne() {
-        entries.remove().what().run();
+        entries.remove().task().run();
     }
 
-    /** When the next one is due; {@link Long#MAX_VALUE} for never. */
+    /** Returns when the next task is due, {@link Long#MAX_VALUE} if there is none. */
     public long next() {
         return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().at();
     }
--- a/src/main/java/wingspread/turn/Worker.java
+++ b/src/main/java/wingspread/turn/Worker.java
@@ -1,10 +1,10 @@
 package wingspread.turn;
 
-/** Work that is done in turns. */
+/** A component driven by an event loop; each turn is one iteration of the loop. */
 public interface Worker {
-    /** Plays all that has been gathered and has come due. */
+    /** Processes the events queued since the last turn and the deadlines that are due. */
     void turn();
 
-    /** When the next turn is due if nothing comes in before; {@link Long#MAX_VALUE} for never. */
+    /** Returns when the next turn is due if no event arrives before, {@link Long#MAX_VALUE} for never. */
     long nextDue();
 }
--- a/src/test/java/wingspread/control/ExchangeLivenessTest.java
+++ b/src/test/java/wingspread/control/ExchangeLivenessTest.java
@@ -34,7 +34,7 @@
     @Property(tries = 200, seed = "20")
     void whoeverVanishesIsFoundDownInTimeToTellTheCallers(@ForAll @LongRange(min = 0, max = 150_000) long lateBy) {
         long down = downAt(new ExchangeLiveness(START), START, START + 20_000_000, lateBy);
-        assertTrue(down >= START + ExchangeLiveness.SILENCE_LIMIT, "down after " + (down - START));
+        assertTrue(down >= START + ExchangeLiveness.DOWN_AFTER_MICROS, "down after " + (down - START));
         assertTrue(down <= START + RULE, "down after " + (down - START));
     }
 
@@ -65,15 +65,15 @@
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         assertEquals(Step.CHECK, liveness.next(START + 30_000_000));
         for (int i = 0; i < 20; i++) {
-            liveness.notChecked(START + 30_000_000 + i * ExchangeLiveness.BETWEEN_CHECKS);
+            liveness.notChecked(START + 30_000_000 + i * ExchangeLiveness.CHECK_INTERVAL_MICROS);
             assertFalse(liveness.next(START + 40_000_000) == Step.DOWN);
         }
         long later = START + 50_000_000;
-        for (int i = 0; i < ExchangeLiveness.LEAST_CHECKS; i++) {
+        for (int i = 0; i < ExchangeLiveness.MIN_CHECKS; i++) {
             liveness.checked(later);
         }
-        assertFalse(liveness.next(later + ExchangeLiveness.CHECK_TAKES - 1) == Step.DOWN);
-        assertEquals(Step.DOWN, liveness.next(later + ExchangeLiveness.CHECK_TAKES));
+        assertFalse(liveness.next(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS - 1) == Step.DOWN);
+        assertEquals(Step.DOWN, liveness.next(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS));
     }
 
     @Test
