--- a/src/main/java/wingspread/control/WindowControl.java
+++ b/src/main/java/wingspread/control/WindowControl.java
@@ -295,9 +295,9 @@
     }
 
     /**
-     * Removes an exchange that is no longer listed. Without it, the state of exchanges that are replaced
-     * repeatedly would accumulate, and their circuits would be counted in addition to those of their
-     * successors, which lowers the share computed for a cold exchange.
+     * Removes an exchange that is no longer listed, and returns whether it did. Otherwise the state of
+     * exchanges that are replaced repeatedly would accumulate, and their circuits would be counted in
+     * addition to those of their successors, which lowers the share computed for a cold exchange.
      */
     private boolean removeIfGone(FarExchange exchange) {
         if (exchange.readiness != Readiness.GONE) {
@@ -640,7 +640,7 @@
     }
 
     /**
-     * Records that a tandem did not complete a call; the next call chooses another one. Prevents wasted work
+     * Records that a tandem did not complete a call, so that another one is chosen next. Prevents wasted work
      * where no alternate route has capacity: few circuits, a slow tandem, groups that lost circuits.
      * Drawback: capacity that becomes free within the pause stays unused.
      */
--- a/src/test/java/wingspread/control/ExchangeLivenessTest.java
+++ b/src/test/java/wingspread/control/ExchangeLivenessTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import wingspread.control.ExchangeLiveness.Step;
 
-/** The failure detector of one exchange, on a clock that the test moves. */
+/** Tests the failure detector of one exchange on a simulated clock. */
 class ExchangeLivenessTest {
     private static final long START = 1_000_000_000;
-    /** 'within 8 s of its end' */
-    private static final long RULE = 8_000_000;
+    /** The protocol's limit for notifying callers of the end of their call: 'within 8 s of its end'. */
+    private static final long NOTIFICATION_LIMIT_MICROS = 8_000_000;
 
-    /** Carries the steps out until it says down or the time is over; when it said so, or -1. */
+    /** Carries out the steps until the exchange is down, and returns that time, or -1 if it is not by {@code until}. */
     private static long downAt(ExchangeLiveness liveness, long from, long until, long lateBy) {
         for (long now = from; now <= until; now = Math.max(now + 1_000, liveness.due(now) + lateBy)) {
             Step step = liveness.next(now);
@@ -30,16 +30,16 @@
         return -1;
     }
 
-    /** However long after its last message it vanished, and by however much each look is late on a slow core. */
+    /** Holds however long after its last message the exchange fails, and even if a slow core delays each step. */
     @Property(tries = 200, seed = "20")
-    void whoeverVanishesIsFoundDownInTimeToTellTheCallers(@ForAll @LongRange(min = 0, max = 150_000) long lateBy) {
+    void detectsFailedExchangeInTimeToNotifyCallers(@ForAll @LongRange(min = 0, max = 150_000) long lateBy) {
         long down = downAt(new ExchangeLiveness(START), START, START + 20_000_000, lateBy);
         assertTrue(down >= START + ExchangeLiveness.DOWN_AFTER_MICROS, "down after " + (down - START));
-        assertTrue(down <= START + RULE, "down after " + (down - START));
+        assertTrue(down <= START + NOTIFICATION_LIMIT_MICROS, "down after " + (down - START));
     }
 
     @Property(tries = 200, seed = "21")
-    void whoeverIsHeardOnAFreshConnectionIsNeverDown(@ForAll @LongRange(min = 0, max = 1_000_000) long answerTakes) {
+    void doesNotReportExchangeDownThatAnswersChecks(@ForAll @LongRange(min = 0, max = 1_000_000) long answerTakes) {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         for (long now = START; now < START + 60_000_000; now = Math.max(now + 1_000, liveness.due(now))) {
             assertFalse(liveness.next(now) == Step.DOWN);
@@ -52,16 +52,16 @@
     }
 
     @Test
-    void aPartitionOfSixSecondsCutsNothingThatWasHeardShortlyBefore() {
+    void toleratesPartitionOfSixSeconds() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         assertEquals(-1, downAt(liveness, START, START + 7_000_000, 0));
         liveness.heard(START + 7_000_000);
         assertEquals(Step.WAIT, liveness.next(START + 7_500_000));
     }
 
-    /** A host that stood still for long must not take its own silence for the exchange's. */
+    /** A host that did not run for some time must not conclude from its own pause that the exchange is down. */
     @Test
-    void silenceAloneWithoutChecksThatHadTheirTimeProvesNothing() {
+    void doesNotReportDownWithoutTimedOutChecks() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         assertEquals(Step.CHECK, liveness.next(START + 30_000_000));
         for (int i = 0; i < 20; i++) {
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void atTheEndOfTheProgramSilenceIsLookedIntoSooner() {
+    void checksSoonerDuringShutdown() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         assertEquals(Step.WAIT, liveness.next(START + 300_000));
         liveness.hurry();
--- a/src/test/java/wingspread/control/FiguresTest.java
+++ b/src/test/java/wingspread/control/FiguresTest.java
@@ -9,37 +9,38 @@
 import org.junit.jupiter.api.Test;
 import wingspread.control.NamedFigures.Figure;
 
-/** Figures are taken whole or turned away with a line that says which one is at fault. */
+/** Tests that the parameters are checked as a whole and rejected with a message that names the invalid one. */
 class FiguresTest {
-    private static String turnedAway(String name, double value) {
+    private static String rejectionMessage(String name, double value) {
         return assertThrows(IllegalArgumentException.class, () -> new Figures(Map.of(name, value))).getMessage();
     }
 
     @Test
-    void whatIsNotGivenIsUsual() {
-        Figures figures = new Figures(Map.of("window-start", 5.0));
-        assertEquals(5.0, figures.windowStart);
-        assertTrue(figures.all().stream().allMatch(f -> f.value() == f.usual() || f.name().equals("window-start")));
+    void usesDefaultsForParametersNotGiven() {
+        Figures parameters = new Figures(Map.of("window-start", 5.0));
+        assertEquals(5.0, parameters.windowStart);
+        assertTrue(parameters.all().stream()
+                .allMatch(p -> p.value() == p.usual() || p.name().equals("window-start")));
     }
 
     @Test
-    void everyFigureTakesItsBoundsAndNothingBeyond() {
-        for (Figure figure : Figures.USUAL.all()) {
-            assertTrue(turnedAway(figure.name(), figure.most() + 1).contains(figure.name()));
-            assertTrue(turnedAway(figure.name(), figure.least() - 1).contains(figure.name()));
-            assertTrue(turnedAway(figure.name(), Double.NaN).contains(figure.name()));
+    void rejectsValuesOutsideBounds() {
+        for (Figure parameter : Figures.USUAL.all()) {
+            assertTrue(rejectionMessage(parameter.name(), parameter.most() + 1).contains(parameter.name()));
+            assertTrue(rejectionMessage(parameter.name(), parameter.least() - 1).contains(parameter.name()));
+            assertTrue(rejectionMessage(parameter.name(), Double.NaN).contains(parameter.name()));
         }
     }
 
     @Test
-    void unknownFractionalAndCrossedFiguresAreTurnedAway() {
-        assertTrue(turnedAway("window-begin", 2).contains("no figure 'window-begin'"));
-        assertTrue(turnedAway("tandems", 1.5).contains("whole"));
-        assertTrue(turnedAway("silent-gap", 5_000_000).contains("silent-gap-max"));
+    void rejectsUnknownFractionalAndUnorderedParameters() {
+        assertTrue(rejectionMessage("window-begin", 2).contains("no figure 'window-begin'"));
+        assertTrue(rejectionMessage("tandems", 1.5).contains("whole"));
+        assertTrue(rejectionMessage("silent-gap", 5_000_000).contains("silent-gap-max"));
     }
 
     @Test
-    void aFigureGivenChangesWhatTheModuleDoes() {
+    void givenParameterChangesDecisions() {
         RecordingHost host = new RecordingHost();
         host.start(RecordingHost.settings(CallControl.Layout.NETWORK, CallControl.Effect.SAFE, false, 3),
                 new Figures(Map.of("window-start", 1.0)));
--- a/src/test/java/wingspread/control/RecordingHost.java
+++ b/src/test/java/wingspread/control/RecordingHost.java
@@ -22,15 +22,16 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** A host for tests: records the actions, keeps the clock and lets timers fall due. */
+/** A host for tests, which records the actions of a control, keeps the clock and fires the timers. */
 final class RecordingHost implements CallControl.Host {
-    static final long SECOND = 1_000_000;
-    static final long AIM = 1_200_000;
-    static final long RELEASE = 500_000;
-    static final long COLD = 14 * SECOND;
-    static final Obligations RULES = new Obligations(20_000, 250_000, 10 * SECOND, 0.3, COLD, 2.5, SECOND);
-
-    /** A set-up that the control started. */
+    static final long SECOND_MICROS = 1_000_000;
+    static final long AIM_MICROS = 1_200_000;
+    static final long RELEASE_MICROS = 500_000;
+    static final long COLD_MICROS = 14 * SECOND_MICROS;
+    static final Obligations OBLIGATIONS = new Obligations(20_000, 250_000, 10 * SECOND_MICROS, 0.3, COLD_MICROS,
+            2.5, SECOND_MICROS);
+
+    /** A set-up that the control sent at a time, with the time until its deadline. */
     record Send(long call, long exchange, long limit, long at) { }
 
     private record Timer(long at, long order, long token) { }
@@ -39,19 +40,19 @@
     final List<Long> refusals = new ArrayList<>();
     final List<Long> failures = new ArrayList<>();
     final List<String> cancels = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
     final List<Boolean> subscriptions = new ArrayList<>();
-    /** All actions in words, to compare two runs. */
-    final List<String> script = new ArrayList<>();
-    long now = 1_000 * SECOND;
+    /** All actions as text, to compare two runs. */
+    final List<String> actions = new ArrayList<>();
+    long now = 1_000 * SECOND_MICROS;
     CallControl control;
     private final Map<Long, Integer> attempts = new HashMap<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>(
             Comparator.comparingLong(Timer::at).thenComparingLong(Timer::order));
-    private long order;
-    private long nextCall = 1;
+    private long nextOrder;
+    private long nextCallId = 1;
 
-    /** A control at place 0 of a network with ready exchanges at places 1 to {@code others}. */
+    /** Returns the host of a control at place 0 of a network with ready exchanges at places 1 to {@code others}. */
     static RecordingHost network(int others) {
         return network(others, 42);
     }
@@ -76,18 +77,19 @@
         control = new WindowControl(now, settings, figures, 42, this);
     }
 
-    static Settings settings(Layout layout, Effect effect, boolean ask) {
-        return settings(layout, effect, ask, 6);
+    static Settings settings(Layout layout, Effect effect, boolean askForList) {
+        return settings(layout, effect, askForList, 6);
     }
 
-    static Settings settings(Layout layout, Effect effect, boolean ask, int softswitches) {
+    static Settings settings(Layout layout, Effect effect, boolean askForList, int softswitches) {
         List<Integer> pools = layout == Layout.SKILLS ? List.of(1, 2) : List.of();
-        CallClass plain = new CallClass("plain", AIM, 9 * SECOND, 1, 0.1, 1, 12 * SECOND, effect, RepeatGroup.ALL,
-                5 * SECOND, pools);
-        CallClass wide = new CallClass("wide", AIM, 9 * SECOND, 3, 0.1, 4, 18 * SECOND, effect, RepeatGroup.CELL,
-                5 * SECOND, pools);
-        return new Settings(layout, layout == Layout.SKILLS ? -1 : 0, 0, 0, softswitches, List.of(plain, wide), ask,
-                Reports.SILENT, false, false, true, false, true, true, 2 * SECOND, 6, RELEASE, 0, RULES);
+        CallClass plain = new CallClass("plain", AIM_MICROS, 9 * SECOND_MICROS, 1, 0.1, 1, 12 * SECOND_MICROS,
+                effect, RepeatGroup.ALL, 5 * SECOND_MICROS, pools);
+        CallClass wide = new CallClass("wide", AIM_MICROS, 9 * SECOND_MICROS, 3, 0.1, 4, 18 * SECOND_MICROS,
+                effect, RepeatGroup.CELL, 5 * SECOND_MICROS, pools);
+        return new Settings(layout, layout == Layout.SKILLS ? -1 : 0, 0, 0, softswitches, List.of(plain, wide),
+                askForList, Reports.SILENT, false, false, true, false, true, true, 2 * SECOND_MICROS, 6,
+                RELEASE_MICROS, 0, OBLIGATIONS);
     }
 
     static Exchange exchange(int place, Readiness readiness, long upSince) {
@@ -99,29 +101,29 @@
     }
 
     long call(int destination, long number) {
-        return call(0, destination, number, 3 * SECOND, -1, false);
+        return call(0, destination, number, 3 * SECOND_MICROS, -1, false);
     }
 
     long transit(int destination) {
-        return call(0, destination, 0, 3 * SECOND, 2, true);
+        return call(0, destination, 0, 3 * SECOND_MICROS, 2, true);
     }
 
-    long call(int callClass, int destination, long number, long left, int via, boolean transit) {
-        long id = nextCall++;
+    long call(int callClass, int destination, long number, long waitMicros, int via, boolean transit) {
+        long id = nextCallId++;
         double width = callClass == 0 ? 1 : 4;
-        control.onCall(now, new Call(id, callClass, number, now + left,
+        control.onCall(now, new Call(id, callClass, number, now + waitMicros,
                 destination, width, via, false, transit, false));
         return id;
     }
 
-    void group(int place, int free, int circuits) {
+    void reportGroup(int place, int free, int circuits) {
         control.onReport(now, place, Status.OK, 0, new Report(free, circuits, Double.NaN, Double.NaN, Double.NaN,
                 Double.NaN, Double.NaN, Double.NaN));
     }
 
-    /** The last set-up ends like this. */
+    /** Reports the outcome of the last set-up. */
     void answer(Status status, Cause cause) {
-        answer(last(), status, cause);
+        answer(lastSend(), status, cause);
     }
 
     void answer(Send send, Status status, Cause cause) {
@@ -129,15 +131,16 @@
                 send.exchange(), now - send.at(), status, cause, 0, Report.NOTHING));
     }
 
-    /** The last set-up brings its call to stand, and the call ends at once. */
-    void stand() {
-        Send send = last();
+    /** Establishes the call of the last set-up, and ends the call at once. */
+    void establish() {
+        Send send = lastSend();
         control.onStood(now, send.call(), attempts.get(send.call()), send.exchange(), now - send.at());
         answer(send, Status.OK, Cause.NONE);
     }
 
-    void pass(long time) {
-        long until = now + time;
+    /** Advances the clock and fires the timers that expire. */
+    void advance(long micros) {
+        long until = now + micros;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
             Timer timer = timers.remove();
             now = timer.at();
@@ -146,63 +149,63 @@
         now = until;
     }
 
-    Send last() {
+    Send lastSend() {
         return sends.get(sends.size() - 1);
     }
 
-    boolean answered(long call) {
+    boolean hasFinalAnswer(long call) {
         return refusals.contains(call) || failures.contains(call);
     }
 
     @Override
     public void send(long call, long exchange, long deadline) {
         long limit = deadline - now;
-        attempts.merge(call, 0, (n, zero) -> n + 1);
+        attempts.merge(call, 0, (attempt, zero) -> attempt + 1);
         sends.add(new Send(call, exchange, limit, now));
-        script.add("send " + call + " " + exchange + " " + limit);
+        actions.add("send " + call + " " + exchange + " " + limit);
     }
 
     @Override
     public void refuse(long call, long retryAfter) {
         refusals.add(call);
-        script.add("refuse " + call + " " + retryAfter);
+        actions.add("refuse " + call + " " + retryAfter);
     }
 
     @Override
     public void fail(long call) {
         failures.add(call);
-        script.add("fail " + call);
+        actions.add("fail " + call);
     }
 
     @Override
     public void cancel(long call, int attempt) {
         cancels.add(call + "/" + attempt);
-        script.add("cancel " + call + " " + attempt);
+        actions.add("cancel " + call + " " + attempt);
     }
 
     @Override
     public void timer(long at, long token) {
-        timers.add(new Timer(at, order++, token));
+        timers.add(new Timer(at, nextOrder++, token));
     }
 
     @Override
     public void probe(long exchange) {
-        script.add("probe " + exchange);
+        actions.add("probe " + exchange);
     }
 
     @Override
     public void closeIdle(long exchange) {
-        script.add("close " + exchange);
+        actions.add("close " + exchange);
     }
 
     @Override
     public void tell(int peer, byte[] message) {
-        script.add("tell " + peer);
+        actions.add("tell " + peer);
     }
 
     @Override
     public void log(String line) {
-        lines.add(line);
+        logLines.add(line);
     }
 
     @Override
@@ -212,6 +215,6 @@
 
     @Override
     public void fetchList() {
-        script.add("fetch");
+        actions.add("fetch");
     }
 }
--- a/src/test/java/wingspread/control/WindowTest.java
+++ b/src/test/java/wingspread/control/WindowTest.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The window of the paper and the routes of the design. */
+/** Tests the window control of the paper, routing, call gapping and calls held at source. */
 class WindowTest {
 
-    /** Set-ups that go out unanswered when a hundred calls come at once: the window, rounded up. */
+    /** Returns the set-ups sent without an answer when 100 calls arrive at once: the window, rounded up. */
     private static int window(RecordingHost host, int place) {
         int before = host.sends.size();
         for (int i = 0; i < 100; i++) {
@@ -25,61 +25,61 @@
     }
 
     @Test
-    void aCallGoesWhileTheUnansweredAreFewerThanTheWindow() {
+    void admitsCallsWhileFewerThanWindowAreUnanswered() {
         RecordingHost host = RecordingHost.network(1);
         assertEquals(2, window(host, 1));
     }
 
     @Test
-    void anAnswerMakesRoomForACallHeldAtSource() {
+    void sendsCallHeldAtSourceAfterAnswer() {
         RecordingHost host = RecordingHost.network(1);
         host.call(1);
         host.call(1);
         long held = host.call(1);
         assertEquals(2, host.sends.size());
-        host.stand();
-        assertEquals(held, host.last().call());
+        host.establish();
+        assertEquals(held, host.lastSend().call());
     }
 
     @Test
-    void theWindowGrowsByATenthAtTwoGoodAnswers() {
+    void increasesWindowByOneTenthAfterTwoGoodAnswers() {
         RecordingHost host = RecordingHost.network(1);
         host.call(1);
-        host.stand();
+        host.establish();
         host.call(1);
-        host.stand();
+        host.establish();
         assertEquals(3, window(host, 1));
     }
 
     @Test
-    void oneGoodAnswerAloneDoesNotGrowTheWindow() {
+    void doesNotIncreaseWindowAfterOneGoodAnswer() {
         RecordingHost host = RecordingHost.network(1);
         host.call(1);
-        host.stand();
+        host.establish();
         assertEquals(2, window(host, 1));
     }
 
     @Test
-    void processorFullCutsTheWindowAndClearsTheCounter() {
+    void cutsWindowAndResetsGoodAnswersOnProcessorFull() {
         RecordingHost host = RecordingHost.network(1);
         host.call(1);
-        host.stand();
+        host.establish();
         for (int i = 0; i < 2; i++) {
             host.call(1);
             host.answer(Status.FULL, Cause.PROCESSOR_FULL);
         }
         host.call(1);
-        host.stand();
+        host.establish();
         assertEquals(1, window(host, 1));
     }
 
     @Test
-    void timeOutAndResetCutTheWindow() {
+    void cutsWindowOnTimeoutAndReset() {
         for (Status bad : new Status[] {Status.TIMEOUT, Status.RESET}) {
             RecordingHost host = RecordingHost.network(1);
             for (int i = 0; i < 2; i++) {
                 host.call(1);
-                host.pass(RecordingHost.AIM);
+                host.advance(RecordingHost.AIM_MICROS);
                 host.answer(bad, Cause.NONE);
             }
             assertEquals(1, window(host, 1), bad.toString());
@@ -87,25 +87,25 @@
     }
 
     @Test
-    void aSlowAnswerCutsTheWindow() {
+    void cutsWindowOnSlowAnswer() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 2; i++) {
             host.call(1);
-            host.pass(RecordingHost.AIM / 2);
-            host.stand();
+            host.advance(RecordingHost.AIM_MICROS / 2);
+            host.establish();
         }
         assertEquals(1, window(host, 1));
         RecordingHost quick = RecordingHost.network(1);
         for (int i = 0; i < 2; i++) {
             quick.call(1);
-            quick.pass(RecordingHost.AIM / 10);
-            quick.stand();
+            quick.advance(RecordingHost.AIM_MICROS / 10);
+            quick.establish();
         }
         assertEquals(3, window(quick, 1));
     }
 
     @Test
-    void belowOneACallGoesWithThatProbability() {
+    void admitsCallsWithProbabilityOfWindowBelowOne() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 3; i++) {
             host.call(1);
@@ -113,81 +113,81 @@
         }
         for (int i = 0; i < 60; i++) {
             long call = host.call(1);
-            if (host.last().call() == call) {
+            if (host.lastSend().call() == call) {
                 host.answer(Status.CANCELLED, Cause.NONE);
             }
-            host.pass(3 * RecordingHost.SECOND);
+            host.advance(3 * RecordingHost.SECOND_MICROS);
         }
         int sent = host.sends.size() - 3;
-        assertTrue(sent >= 15 && sent <= 45, sent + " of 60 went");
+        assertTrue(sent >= 15 && sent <= 45, sent + " of 60 calls were sent");
     }
 
     @Test
-    void aTurnBackForAFullDestinationCutsItsWindowNotTheTandems() {
+    void cutsWindowOfDestinationNotOfTandemOnBeyondFull() {
         RecordingHost host = RecordingHost.network(2);
         for (int i = 0; i < 2; i++) {
-            host.group(1, 0, 50);
-            host.group(2, 50, 50);
+            host.reportGroup(1, 0, 50);
+            host.reportGroup(2, 50, 50);
             host.call(1);
-            assertEquals(2, host.last().exchange());
+            assertEquals(2, host.lastSend().exchange());
             host.answer(Status.FULL, Cause.BEYOND_FULL);
         }
-        host.group(1, 50, 50);
+        host.reportGroup(1, 50, 50);
         assertEquals(1, window(host, 1));
         assertEquals(3, window(host, 2));
     }
 
     @Test
-    void theDestinationsWindowRefusedMeansNoTandem() {
+    void triesNoTandemWhenWindowOfDestinationIsFull() {
         RecordingHost host = RecordingHost.network(2);
-        host.group(1, 50, 50);
-        host.group(2, 50, 50);
+        host.reportGroup(1, 50, 50);
+        host.reportGroup(2, 50, 50);
         window(host, 1);
         assertTrue(host.sends.stream().allMatch(send -> send.exchange() == 1));
     }
 
     @Test
-    void directFirstThenTheTandemThatWorked() {
+    void triesDirectRouteFirstThenRememberedTandem() {
         RecordingHost host = RecordingHost.network(5);
         for (int place = 1; place <= 5; place++) {
-            host.group(place, 50, 50);
+            host.reportGroup(place, 50, 50);
         }
         host.call(1);
-        assertEquals(1, host.last().exchange());
-        host.group(1, 0, 50);
+        assertEquals(1, host.lastSend().exchange());
+        host.reportGroup(1, 0, 50);
         host.call(1);
-        long tandem = host.last().exchange();
-        host.stand();
+        long tandem = host.lastSend().exchange();
+        host.establish();
         for (int i = 0; i < 10; i++) {
             host.call(1);
-            assertEquals(tandem, host.last().exchange());
-            host.stand();
+            assertEquals(tandem, host.lastSend().exchange());
+            host.establish();
         }
     }
 
     @Test
-    void anotherTandemIsDrawnAfterATurnBackAndThenAPauseIsMade() {
+    void choosesAnotherTandemAfterCrankbackThenPauses() {
         RecordingHost host = RecordingHost.network(5);
-        host.group(1, 0, 50);
+        host.reportGroup(1, 0, 50);
         long call = host.call(1);
-        long first = host.last().exchange();
+        long first = host.lastSend().exchange();
         host.answer(Status.FULL, Cause.TANDEM_BLOCKED);
-        assertEquals(call, host.last().call());
-        assertFalse(first == host.last().exchange());
+        assertEquals(call, host.lastSend().call());
+        assertFalse(first == host.lastSend().exchange());
         host.answer(Status.FULL, Cause.TANDEM_BLOCKED);
         host.call(1);
         assertEquals(2, host.sends.size());
-        host.pass(RecordingHost.SECOND);
+        host.advance(RecordingHost.SECOND_MICROS);
         host.call(1);
         assertEquals(3, host.sends.size());
     }
 
     @Test
-    void aTandemTurnsTransitBackWhenFewOnwardCircuitsAreFree() {
+    void refusesTransitCallsWhenFewOnwardCircuitsAreFree() {
         RecordingHost host = RecordingHost.network(2);
-        host.group(1, 8, 49);
+        host.reportGroup(1, 8, 49);
         host.transit(1);
-        assertEquals(1, host.last().exchange());
+        assertEquals(1, host.lastSend().exchange());
         long turnedBack = host.transit(1);
         assertTrue(host.refusals.contains(turnedBack));
         host.call(1);
@@ -195,13 +195,13 @@
     }
 
     @Test
-    void aRedialPastItsAimLeavesTheReserve() {
+    void doesNotUseReserveForRedialPastItsAim() {
         RecordingHost host = RecordingHost.network(1);
-        host.group(1, 0, 49);
+        host.reportGroup(1, 0, 49);
         long first = host.call(1, 77);
-        host.pass(RecordingHost.AIM);
+        host.advance(RecordingHost.AIM_MICROS);
         assertTrue(host.refusals.contains(first));
-        host.group(1, 7, 49);
+        host.reportGroup(1, 7, 49);
         host.call(1, 77);
         assertEquals(0, host.sends.size());
         host.call(1, 78);
@@ -209,18 +209,18 @@
     }
 
     @Test
-    void moreWorthPerCircuitIsServedFirst() {
+    void servesHeldCallOfHigherValuePerCircuitFirst() {
         RecordingHost host = RecordingHost.network(1);
-        host.group(1, 0, 49);
-        long wide = host.call(1, 1, 0, 3 * RecordingHost.SECOND, -1, false);
+        host.reportGroup(1, 0, 49);
+        long wide = host.call(1, 1, 0, 3 * RecordingHost.SECOND_MICROS, -1, false);
         long narrow = host.call(1);
-        host.group(1, 4, 49);
+        host.reportGroup(1, 4, 49);
         assertEquals(narrow, host.sends.get(0).call());
-        assertFalse(host.answered(wide));
+        assertFalse(host.hasFinalAnswer(wide));
     }
 
     @Test
-    void aBusyNumberIsHeldAtSource() {
+    void refusesCallsToBusyNumberAtSourceDuringGap() {
         RecordingHost host = RecordingHost.network(1);
         host.call(1, 77);
         host.answer(Status.ERROR, Cause.LINES_BUSY);
@@ -228,49 +228,49 @@
         assertTrue(host.refusals.contains(held));
         host.call(1, 78);
         assertEquals(2, host.sends.size());
-        host.pass(RecordingHost.SECOND);
+        host.advance(RecordingHost.SECOND_MICROS);
         host.call(1, 77);
         assertEquals(3, host.sends.size());
     }
 
     @Test
-    void aWindowOfSetUpsThatGoUnansweredTogetherMakesOneGap() {
+    void startsOneGapForWindowOfUnansweredSetUps() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 100; i++) {
             host.call(1);
-            host.stand();
+            host.establish();
         }
         for (int i = 0; i < 6; i++) {
             host.call(1);
         }
         List<RecordingHost.Send> out = List.copyOf(host.sends.subList(100, 106));
-        host.pass(RecordingHost.AIM);
+        host.advance(RecordingHost.AIM_MICROS);
         out.forEach(send -> host.answer(send, Status.TIMEOUT, Cause.NONE));
-        host.pass(RecordingHost.SECOND);
+        host.advance(RecordingHost.SECOND_MICROS);
         int before = host.sends.size();
         host.call(1);
-        assertEquals(before + 1, host.sends.size(), "the first gap is over after a second");
+        assertEquals(before + 1, host.sends.size(), "the first gap ends within a second");
         host.answer(Status.CANCELLED, Cause.NONE);
         host.call(1);
-        assertEquals(before + 2, host.sends.size(), "a set-up that was given up tells nothing");
+        assertEquals(before + 2, host.sends.size(), "a cancelled set-up does not count as unanswered");
     }
 
-    /** Calls sent to the last of many exchanges that took each other's place, in its first seconds. */
-    private static int sentToTheLastOf(int replacements) {
+    /** Returns the set-ups sent in its first 2 s to the last of several exchanges that replaced one another. */
+    private static int sentToLastReplacement(int replacements) {
         RecordingHost host = RecordingHost.network(2);
-        host.group(1, 20, 20);
-        host.group(2, 20, 20);
+        host.reportGroup(1, 20, 20);
+        host.reportGroup(2, 20, 20);
         long before = 1;
         for (int i = 0; i < 200; i++) {
             host.call(2);
-            host.stand();
-            host.pass(RecordingHost.SECOND / 10);
+            host.establish();
+            host.advance(RecordingHost.SECOND_MICROS / 10);
         }
         for (long next = 11; next < 11 + replacements; next++) {
             host.control.onExchangeList(host.now, ListKind.DELTA, List.of(
                     new Exchange(before, 0, 0, 1, Readiness.GONE, 1, 0),
                     new Exchange(next, 0, 0, 1, Readiness.READY, 1, host.now)));
-            host.group((int) next, 20, 20);
+            host.reportGroup((int) next, 20, 20);
             before = next;
         }
         int sent = host.sends.size();
@@ -278,45 +278,45 @@
             int had = host.sends.size();
             host.call(1);
             if (host.sends.size() > had) {
-                host.stand();
+                host.establish();
             }
-            host.pass(RecordingHost.SECOND / 50);
+            host.advance(RecordingHost.SECOND_MICROS / 50);
         }
         return host.sends.size() - sent;
     }
 
     @Test
-    void anExchangeThatHasGoneTakesNothingFromTheShareOfItsSuccessors() {
-        int once = sentToTheLastOf(1);
-        assertTrue(sentToTheLastOf(20) >= once - 1, "as many as after one replacement: " + once);
+    void removedExchangesDoNotReduceShareOfTheirSuccessors() {
+        int once = sentToLastReplacement(1);
+        assertTrue(sentToLastReplacement(20) >= once - 1, "fewer set-ups than after one replacement: " + once);
     }
 
     @Test
-    void aSignallingFaultIsTriedAgainOnTheSameRouteUpToTheMostAttempts() {
+    void repeatsAfterSignallingFaultOnSameRouteUpToMaxAttempts() {
         RecordingHost host = RecordingHost.network(1);
         long call = host.call(1);
         for (int i = 0; i < 6; i++) {
-            assertEquals(call, host.last().call());
-            assertFalse(host.answered(call));
+            assertEquals(call, host.lastSend().call());
+            assertFalse(host.hasFinalAnswer(call));
             host.answer(Status.ERROR, Cause.NONE);
         }
-        assertTrue(host.answered(call));
+        assertTrue(host.hasFinalAnswer(call));
         assertEquals(6, host.sends.size());
     }
 
     @Test
-    void badAnswersFromSeveralExchangesCutTheOwnWindowInsteadOfTheirs() {
+    void badAnswersFromSeveralExchangesCutOwnWindowInsteadOfTheirs() {
         RecordingHost host = RecordingHost.network(6);
         for (int i = 0; i < 60; i++) {
             int before = host.sends.size();
             host.call(1 + i % 6);
             if (host.sends.size() > before) {
-                host.pass(RecordingHost.AIM);
+                host.advance(RecordingHost.AIM_MICROS);
                 host.answer(Status.TIMEOUT, Cause.NONE);
             }
-            host.pass(RecordingHost.SECOND);
+            host.advance(RecordingHost.SECOND_MICROS);
         }
-        assertEquals(List.of(), host.lines, "no far exchange is held to be silent");
+        assertEquals(List.of(), host.logLines, "no far exchange is gapped");
         int before = host.sends.size();
         for (int place = 1; place <= 6; place++) {
             host.call(place);
@@ -325,16 +325,16 @@
     }
 
     @Test
-    void badAnswersFromOneExchangeLeaveTheOthersAlone() {
+    void badAnswersFromOneExchangeDoNotLimitOthers() {
         RecordingHost host = RecordingHost.network(6);
         for (int i = 0; i < 20; i++) {
             int before = host.sends.size();
             host.call(1);
             if (host.sends.size() > before) {
-                host.pass(RecordingHost.AIM);
+                host.advance(RecordingHost.AIM_MICROS);
                 host.answer(Status.TIMEOUT, Cause.NONE);
             }
-            host.pass(RecordingHost.SECOND);
+            host.advance(RecordingHost.SECOND_MICROS);
         }
         int before = host.sends.size();
         for (int place = 2; place <= 6; place++) {
@@ -344,7 +344,7 @@
     }
 
     @Test
-    void aProcessorFullAtTheLeastWindowIsGapped() {
+    void gapsProcessorThatIsFullAtMinWindow() {
         RecordingHost host = RecordingHost.network(1);
         int answered = 0;
         for (int i = 0; i < 200; i++) {
@@ -352,47 +352,47 @@
             while (answered < host.sends.size()) {
                 host.answer(host.sends.get(answered++), Status.FULL, Cause.PROCESSOR_FULL);
             }
-            host.pass(50_000);
+            host.advance(50_000);
         }
-        assertTrue(host.lines.contains("exchange 1 is overloaded or unresponsive, call gapping started"));
+        assertTrue(host.logLines.contains("exchange 1 is overloaded or unresponsive, call gapping started"));
         assertTrue(host.sends.size() < 20, host.sends.size() + " set-ups to a processor that refuses them all");
     }
 
-    /** Calls until one is sent, with none held by then. */
+    /** Offers calls until exactly one set-up is sent. */
     private static void sendOne(RecordingHost host) {
         int before = host.sends.size();
         host.call(1);
         for (int i = 0; i < 100 && host.sends.size() == before; i++) {
-            host.pass(RecordingHost.AIM);
+            host.advance(RecordingHost.AIM_MICROS);
             host.call(1);
         }
         assertEquals(before + 1, host.sends.size());
     }
 
     @Test
-    void theWindowDoesNotFallBelowItsLeast() {
+    void windowDoesNotFallBelowMin() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 5; i++) {
             sendOne(host);
-            host.pass(1_000);
+            host.advance(1_000);
             host.answer(Status.FULL, Cause.PROCESSOR_FULL);
-            host.pass(10 * RecordingHost.SECOND);
+            host.advance(10 * RecordingHost.SECOND_MICROS);
         }
         for (int i = 0; i < 14; i++) {
             sendOne(host);
-            host.stand();
-            host.pass(10 * RecordingHost.SECOND);
+            host.establish();
+            host.advance(10 * RecordingHost.SECOND_MICROS);
         }
-        host.pass(2 * RecordingHost.COLD);
+        host.advance(2 * RecordingHost.COLD_MICROS);
         assertEquals(2, window(host, 1));
     }
 
     @Test
-    void theWindowDoesNotRiseAboveAHundred() {
+    void windowDoesNotRiseAboveMax() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 5000; i++) {
             host.call(1);
-            host.stand();
+            host.establish();
         }
         int before = host.sends.size();
         for (int i = 0; i < 150; i++) {
@@ -402,37 +402,37 @@
     }
 
     @Test
-    void turnBacksOfManyDestinationsTogetherMakeTandemsRare() {
+    void limitsTandemsAfterCrankbacksOfManyDestinations() {
         RecordingHost[] host = new RecordingHost[1];
-        int early = turnedBackTandems(host, 4);
-        turnBack(host[0], 50);
+        int early = sendsOfCrankedBackCalls(host, 4);
+        crankBackCalls(host[0], 50);
         assertTrue(early >= 6, early + " sends of 4 calls");
         assertTrue(host[0].sends.size() < 50, host[0].sends.size() + " sends of 54 calls");
     }
 
     @Test
-    void aPairWithoutAGroupKeepsItsTandems() {
+    void doesNotLimitTandemsOfPairWithoutGroup() {
         RecordingHost[] host = new RecordingHost[1];
-        turnedBackTandems(host, 50);
-        host[0].group(30, 0, 0);
-        host[0].pass(RecordingHost.SECOND);
+        sendsOfCrankedBackCalls(host, 50);
+        host[0].reportGroup(30, 0, 0);
+        host[0].advance(RecordingHost.SECOND_MICROS);
         int before = host[0].sends.size();
         host[0].call(30);
         assertEquals(before + 1, host[0].sends.size());
     }
 
-    /** Calls to ever other destinations without room, whose tandems all turn them back; the sends. */
-    private static int turnedBackTandems(RecordingHost[] made, int calls) {
+    /** Returns the set-ups of calls to changing destinations without free circuits, whose tandems all refuse them. */
+    private static int sendsOfCrankedBackCalls(RecordingHost[] hostResult, int calls) {
         RecordingHost host = RecordingHost.network(60);
         for (int place = 1; place <= 50; place++) {
-            host.group(place, 0, 4);
+            host.reportGroup(place, 0, 4);
         }
-        made[0] = host;
-        turnBack(host, calls);
+        hostResult[0] = host;
+        crankBackCalls(host, calls);
         return host.sends.size();
     }
 
-    private static void turnBack(RecordingHost host, int calls) {
+    private static void crankBackCalls(RecordingHost host, int calls) {
         for (int i = 0; i < calls; i++) {
             int before = host.sends.size();
             host.call(1 + i % 50);
@@ -440,56 +440,56 @@
                 before = host.sends.size();
                 host.answer(Status.FULL, Cause.TANDEM_BLOCKED);
             }
-            host.pass(10 * RecordingHost.SECOND);
+            host.advance(10 * RecordingHost.SECOND_MICROS);
         }
     }
 
     @Test
-    void aPairWithoutAGroupUsesTheReserveTowardItsTandem() {
+    void pairWithoutGroupUsesReserveTowardTandem() {
         RecordingHost host = RecordingHost.network(2);
-        host.group(2, 1, 9);
-        host.group(1, 0, 9);
+        host.reportGroup(2, 1, 9);
+        host.reportGroup(1, 0, 9);
         host.call(1);
         assertEquals(0, host.sends.size());
-        host.group(1, 0, 0);
+        host.reportGroup(1, 0, 0);
         host.call(1);
-        assertEquals(2, host.last().exchange());
+        assertEquals(2, host.lastSend().exchange());
     }
 
     @Test
-    void aSmallGroupKeepsNoReserve() {
+    void smallGroupKeepsNoReserve() {
         RecordingHost host = RecordingHost.network(2);
-        host.group(1, 0, 4);
-        host.group(2, 1, 4);
+        host.reportGroup(1, 0, 4);
+        host.reportGroup(2, 1, 4);
         host.call(1);
-        assertEquals(2, host.last().exchange());
+        assertEquals(2, host.lastSend().exchange());
     }
 
     @Test
-    void aStartToldByTheListEndsTheGap() {
+    void restartReportedByListEndsGap() {
         RecordingHost host = RecordingHost.network(1);
         for (int i = 0; i < 4; i++) {
             host.call(1);
             host.answer(Status.CONNECT_FAILED, Cause.NONE);
-            host.pass(i < 3 ? RecordingHost.SECOND * (1 << i) : 0);
+            host.advance(i < 3 ? RecordingHost.SECOND_MICROS * (1 << i) : 0);
         }
         int before = host.sends.size();
         host.call(1);
-        host.pass(100_000);
+        host.advance(100_000);
         assertEquals(before, host.sends.size());
         host.control.onExchangeList(host.now, CallControl.ListKind.DELTA,
                 List.of(RecordingHost.exchange(1, CallControl.Readiness.READY, host.now)));
-        host.pass(3 * RecordingHost.SECOND);
+        host.advance(3 * RecordingHost.SECOND_MICROS);
         host.call(1);
         assertEquals(before + 1, host.sends.size());
     }
 
     @Test
-    void gapsGrowWithTheNumberOfSenders() {
-        assertTrue(sendsToASilentExchange(8) > 2 * sendsToASilentExchange(80));
+    void gapsGrowWithNumberOfSenders() {
+        assertTrue(sendsToUnresponsiveExchange(8) > 2 * sendsToUnresponsiveExchange(80));
     }
 
-    private static int sendsToASilentExchange(int senders) {
+    private static int sendsToUnresponsiveExchange(int senders) {
         RecordingHost host = RecordingHost.network(senders - 1);
         for (int i = 0; i < 600; i++) {
             int before = host.sends.size();
@@ -497,7 +497,7 @@
             if (host.sends.size() > before) {
                 host.answer(Status.CONNECT_FAILED, Cause.NONE);
             }
-            host.pass(100_000);
+            host.advance(100_000);
         }
         return host.sends.size();
     }
--- a/src/test/java/wingspread/turn/DeadlinesTest.java
+++ b/src/test/java/wingspread/turn/DeadlinesTest.java
@@ -10,31 +10,31 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whatever is added and when, things happen in the order of their times and then of their adding. */
+/** Tests that tasks run in the order of their times and then of addition, whenever they are added. */
 class DeadlinesTest {
     private record Entry(long at, int order) { }
 
     @Property(tries = 300, seed = "71")
-    void theyComeInOrder(@ForAll long seed, @ForAll @IntRange(max = 400) int count) {
+    void runsTasksInOrderOfTimeThenAddition(@ForAll long seed, @ForAll @IntRange(max = 400) int count) {
         SplittableRandom random = new SplittableRandom(seed);
         Deadlines deadlines = new Deadlines();
         List<Entry> added = new ArrayList<>();
-        List<Entry> played = new ArrayList<>();
+        List<Entry> completed = new ArrayList<>();
         long now = 0;
         for (int i = 0; i < count; i++) {
             Entry entry = new Entry(now + 1 + random.nextInt(20), i);
             added.add(entry);
-            deadlines.add(entry.at(), () -> played.add(entry));
+            deadlines.add(entry.at(), () -> completed.add(entry));
             if (random.nextInt(4) == 0) {
                 now += random.nextInt(10);
                 deadlines.play(now);
                 long until = now;
-                assertEquals(added.stream().filter(e -> e.at() <= until).count(), played.size());
+                assertEquals(added.stream().filter(task -> task.at() <= until).count(), completed.size());
             }
         }
         deadlines.play(Long.MAX_VALUE - 1);
         assertEquals(Long.MAX_VALUE, deadlines.next());
         assertEquals(added.stream().sorted(Comparator.comparingLong(Entry::at).thenComparingInt(Entry::order)).toList(),
-                played);
+                completed);
     }
 }
