--- a/src/test/java/wingspread/control/RecordingHost.java
+++ b/src/test/java/wingspread/control/RecordingHost.java
@@ -142,9 +142,9 @@
     void advance(long micros) {
         long until = now + micros;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
-            Timer timer = timers.remove();
-            now = timer.at();
-            control.onTimer(now, timer.token());
+            Timer expired = timers.remove();
+            now = expired.at();
+            control.onTimer(now, expired.token());
         }
         now = until;
     }
