--- a/src/main/java/wingspread/control/ExchangeLiveness.java
+++ b/src/main/java/wingspread/control/ExchangeLiveness.java
@@ -103,7 +103,8 @@
 
     private long nextCheck() {
         long firstCheck = heardAt + (shuttingDown ? SHUTDOWN_CHECK_AFTER_MICROS : CHECK_AFTER_MICROS);
-        return checkedAt > heardAt ? Math.max(firstCheck, checkedAt + CHECK_INTERVAL_MICROS) : firstCheck;
+        return checkedAt > heardAt
+                ? Math.max(firstCheck, checkedAt + CHECK_INTERVAL_MICROS) : firstCheck;
     }
 
     /** Whether there were enough checks without a message, and the first of the last ones has timed out. */
--- a/src/main/java/wingspread/control/NamedFigures.java
+++ b/src/main/java/wingspread/control/NamedFigures.java
@@ -20,7 +20,8 @@
      * @param least the minimum, inclusive
      * @param most  the maximum, inclusive
      */
-    public record Figure(String name, Unit unit, double value, double usual, double least, double most) { }
+    public record Figure(
+            String name, Unit unit, double value, double usual, double least, double most) { }
 
     private final Map<String, Double> given;
     private final List<Figure> all = new ArrayList<>();
--- a/src/test/java/wingspread/control/FiguresTest.java
+++ b/src/test/java/wingspread/control/FiguresTest.java
@@ -12,7 +12,8 @@
 /** Tests that the parameters are checked as a whole and rejected with a message that names the invalid one. */
 class FiguresTest {
     private static String rejectionMessage(String name, double value) {
-        return assertThrows(IllegalArgumentException.class, () -> new Figures(Map.of(name, value))).getMessage();
+        return assertThrows(IllegalArgumentException.class,
+                () -> new Figures(Map.of(name, value))).getMessage();
     }
 
     @Test
