--- a/src/main/java/wingspread/core/Attempt.java
+++ b/src/main/java/wingspread/core/Attempt.java
@@ -1,21 +1,23 @@
 package wingspread.core;
 
-/** One set-up of a call toward an exchange, to be given up at {@code deadline}. */
+/**
+ * One set-up of a call toward an exchange, withdrawn at its deadline. All times are microseconds on the host's clock.
+ */
 public final class Attempt {
-    enum State { OUT, STANDING, ENDED }
+    enum State { PENDING, ESTABLISHED, ENDED }
 
     private final Request request;
-    private final long call;
+    private final long callNumber;
     private final int index;
     private final long exchange;
     private final long sentAt;
     private final long deadline;
-    private State state = State.OUT;
-    private long stoodAt;
+    private State state = State.PENDING;
+    private long establishedAt;
 
-    Attempt(Request request, long call, int index, long exchange, long sentAt, long deadline) {
+    Attempt(Request request, long callNumber, int index, long exchange, long sentAt, long deadline) {
         this.request = request;
-        this.call = call;
+        this.callNumber = callNumber;
         this.index = index;
         this.exchange = exchange;
         this.sentAt = sentAt;
@@ -26,16 +28,17 @@
         return request;
     }
 
-    /** The call's number in the planner. */
-    long call() {
-        return call;
+    /** Returns the number by which the planner and the call control identify the call. */
+    long callNumber() {
+        return callNumber;
     }
 
-    /** Attempts of a call are counted from 0. */
+    /** Returns the index of the attempt among those of its call, counted from 0. */
     public int index() {
         return index;
     }
 
+    /** Returns the address of the exchange. */
     public long exchange() {
         return exchange;
     }
@@ -48,24 +51,24 @@
         return deadline;
     }
 
-    /** Whether its end is still awaited. */
+    /** Whether the set-up has neither been answered nor ended. */
     public boolean out() {
-        return state == State.OUT;
+        return state == State.PENDING;
     }
 
-    boolean standing() {
-        return state == State.STANDING;
+    boolean isEstablished() {
+        return state == State.ESTABLISHED;
     }
 
-    /** The exchange has answered it now. */
-    void stand(long now) {
-        state = State.STANDING;
-        stoodAt = now;
+    /** Marks the set-up as answered by the exchange. */
+    void establish(long now) {
+        state = State.ESTABLISHED;
+        establishedAt = now;
     }
 
-    /** When it came to stand, in microseconds; without meaning before. */
-    long stoodAt() {
-        return stoodAt;
+    /** Returns when the exchange answered the set-up; undefined before that. */
+    long establishedAt() {
+        return establishedAt;
     }
 
     void end() {
--- a/src/main/java/wingspread/core/CallLog.java
+++ b/src/main/java/wingspread/core/CallLog.java
@@ -6,67 +6,67 @@
 import wingspread.control.CallControl.Status;
 
 /**
- * One line for each change of a call's state, with the call's id first, so that one search follows a call through the
- * logs of all processes. What ends a call otherwise than its caller wished is logged at INFO: each refusal, failure,
- * attempt that came to nothing, and cut. The ordinary states are logged at DEBUG
- * ({@code -Dorg.slf4j.simpleLogger.log.call=debug}). Nothing is formatted for a level that is off.
+ * Logs one line for each change of a call's state. Each line starts with the call id, so that one search finds a call
+ * in the logs of all processes. Whatever ends a call other than its caller wished is logged at INFO: refusals,
+ * failures, unsuccessful attempts and cut calls. Ordinary changes are logged at DEBUG
+ * ({@code -Dorg.slf4j.simpleLogger.log.call=debug}). No text is formatted for a disabled level.
  */
 final class CallLog {
     private static final Logger LOG = LoggerFactory.getLogger("call");
 
-    /** Why a call is refused or fails. */
+    /** Why a call was refused, failed or was abandoned. */
     enum AnswerReason {
-        /** The decision module said so. */
+        /** The call control decided so. */
         DECIDED,
-        /** As many calls are open as the memory can hold. */
+        /** The maximum number of open calls, or of bytes kept for them, is reached. */
         TOO_MANY_CALLS,
-        /** Its id is the id of a call that is open. */
+        /** Another open call has the same id. */
         REPEATED_ID,
-        /** The gate against storms of redials turned it away. */
+        /** The storm gate refused the redial. */
         STORM,
-        /** Its deadline came, and the decision module had given no answer. */
+        /** The deadline passed without an answer from the call control. */
         DEADLINE,
-        /** The planned end of the program came before its deadline. */
+        /** The process is shutting down and ends before the deadline of the call. */
         PLANNED_END,
-        /** Its caller gave it up, or closed the connection. */
+        /** The caller cancelled the set-up or closed the connection. */
         CALLER_GAVE_UP
     }
 
-    /** Why a call that stood is over. */
+    /** Why an established call ended. */
     enum EndReason {
         /** The exchange released it. */
         EXCHANGE_RELEASED,
         /** The caller released it. */
         CALLER_RELEASED,
-        /** The exchange's process is down: a connect was refused. */
+        /** The exchange's process is down: a connection to it was refused. */
         EXCHANGE_DOWN,
-        /** Nothing was heard of the exchange for several seconds, on fresh connections neither. */
+        /** The exchange sent nothing for several seconds, not even on new connections. */
         EXCHANGE_SILENT,
-        /** The exchange speaks again after a break, and holds none of the calls that stood on it. */
+        /** The exchange is responsive again after an interruption but has lost the calls established on it. */
         EXCHANGE_LOST_CALLS,
-        /** The directory lists the exchange no longer. */
+        /** The exchange was removed from the directory. */
         EXCHANGE_REMOVED,
-        /** The exchange was started again after the call was set up. */
+        /** The exchange was restarted after the call was set up. */
         EXCHANGE_RESTARTED,
-        /** The program ends, and no successor could tell the caller. */
+        /** The process is shutting down, and the next one could not notify the caller of a later end. */
         PLANNED_END
     }
 
-    void taken(Request request, long now) {
+    void received(Request request, long now) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("{} taken class={} destination={} left-ms={}{}{}", request.id(), request.className(),
+            LOG.debug("{} received class={} destination={} left-ms={}{}{}", request.id(), request.className(),
                     request.destination(), (request.deadline() - now) / 1_000, request.redial() ? " redial" : "",
                     request.transit() ? " transit" : "");
         }
     }
 
-    void sent(Attempt attempt) {
+    void attemptSent(Attempt attempt) {
         if (LOG.isDebugEnabled()) {
             LOG.debug("{} attempt={} sent exchange={}", attempt.request().id(), attempt.index(), attempt.exchange());
         }
     }
 
-    /** An attempt ended without bringing its call to stand; the call may be sent again. */
+    /** Logs an attempt that ended without establishing its call, which may be attempted again. */
     void attemptEnded(Attempt attempt, long now, Status status, Cause cause) {
         if (LOG.isInfoEnabled()) {
             LOG.info("{} attempt={} ended exchange={} status={} cause={} after-ms={}", attempt.request().id(),
@@ -74,46 +74,46 @@
         }
     }
 
-    void stood(Attempt attempt, long now) {
+    void established(Attempt attempt, long now) {
         if (LOG.isDebugEnabled()) {
-            LOG.debug("{} stands attempt={} exchange={} after-ms={}", attempt.request().id(), attempt.index(),
+            LOG.debug("{} established attempt={} exchange={} after-ms={}", attempt.request().id(), attempt.index(),
                     attempt.exchange(), (now - attempt.sentAt()) / 1_000);
         }
     }
 
-    /** A final answer other than that the call stands: {@code answer} is refused, failed or given up. */
+    /** Logs a final answer other than success: {@code answer} is refused, failed or abandoned. */
     void answered(String call, String answer, AnswerReason reason, int attempts) {
         if (LOG.isInfoEnabled()) {
             LOG.info("{} {} reason={} attempts={}", call, answer, reason, attempts);
         }
     }
 
-    /** A call that stood is over. */
-    void over(Attempt attempt, EndReason reason, int cause) {
+    /** Logs the end of an established call. */
+    void callEnded(Attempt attempt, EndReason reason, int cause) {
         if (reason == EndReason.EXCHANGE_RELEASED || reason == EndReason.CALLER_RELEASED) {
             if (LOG.isDebugEnabled()) {
-                LOG.debug("{} over reason={} cause={} exchange={}", attempt.request().id(), reason, cause,
+                LOG.debug("{} ended reason={} cause={} exchange={}", attempt.request().id(), reason, cause,
                         attempt.exchange());
             }
         } else {
-            LOG.info("{} over reason={} cause={} exchange={}", attempt.request().id(), reason, cause,
+            LOG.info("{} ended reason={} cause={} exchange={}", attempt.request().id(), reason, cause,
                     attempt.exchange());
         }
     }
 
-    /** An exchange counts as down; its calls follow, a line each. */
-    void exchangeDown(long exchange, EndReason reason, long calls, long silentFor) {
+    /** Logs that an exchange counts as down; a line for each of its calls follows. */
+    void exchangeDown(long exchange, EndReason reason, long calls, long silenceMicros) {
         LOG.warn("exchange={} counts as down reason={} calls={} silent-ms={}", exchange, reason, calls,
-                silentFor / 1_000);
+                silenceMicros / 1_000);
     }
 
-    /** An exchange released a call that this program has not set up or does not know any more. */
-    void unknownReleased(String call, long exchange, int cause) {
-        LOG.info("{} unknown, released by exchange={} cause={}", call, exchange, cause);
+    /** Logs the release of a call that this process has not set up or no longer knows. */
+    void unknownCallReleased(String call, long exchange, int cause) {
+        LOG.info("{} unknown call, released by exchange={} cause={}", call, exchange, cause);
     }
 
-    /** An exchange says that a call stands which nobody waits for any more. */
-    void crossed(String call, long exchange) {
-        LOG.info("{} stands at exchange={} unawaited, is released", call, exchange);
+    /** Logs an exchange's answer for a call that is no longer waiting for one. */
+    void lateAnswer(String call, long exchange) {
+        LOG.info("{} answered too late by exchange={}, releasing it", call, exchange);
     }
 }
--- a/src/main/java/wingspread/core/CallState.java
+++ b/src/main/java/wingspread/core/CallState.java
@@ -5,39 +5,39 @@
 import wingspread.storm.Try;
 
 /**
- * A call from its coming in until nothing of it is awaited: its request, the caller's side, its attempts, and whether
- * it has had its final answer. Owned by the {@link Planner}.
+ * The state of a call from its arrival until nothing is pending for it: the request, the caller's side, the attempts,
+ * and whether the final answer has been given. Owned by the {@link Planner}.
  */
 final class CallState {
     final Request request;
     final Caller caller;
-    /** By which the decision module knows it. */
-    final long number;
+    /** Identifies the call to the call control. */
+    final long callNumber;
     final List<Attempt> attempts = new ArrayList<>(1);
     boolean answered;
-    /** The module has asked for a set-up that is not carried out yet. */
-    boolean asked;
-    /** The try as the gate against storms counts it; null where there is no gate, and for calls in transit. */
-    Try tried;
+    /** Whether the call control has requested a set-up that has not been sent yet. */
+    boolean sendRequested;
+    /** The call as the storm gate counts it; null if there is no storm gate, and for calls in transit. */
+    Try callOffer;
 
-    CallState(Request request, Caller caller, long number) {
+    CallState(Request request, Caller caller, long callNumber) {
         this.request = request;
         this.caller = caller;
-        this.number = number;
+        this.callNumber = callNumber;
     }
 
-    /** The last attempt; null before the first. */
-    Attempt last() {
+    /** Returns the last attempt; null before the first. */
+    Attempt lastAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** Whether the call stands through its last attempt. */
-    boolean standing() {
-        return last() != null && last().standing();
+    /** Whether the call is established by its last attempt. */
+    boolean isEstablished() {
+        return lastAttempt() != null && lastAttempt().isEstablished();
     }
 
-    /** Whether the end of an attempt is awaited. */
-    boolean out() {
-        return last() != null && last().out();
+    /** Whether the last attempt is still pending. */
+    boolean hasPendingAttempt() {
+        return lastAttempt() != null && lastAttempt().out();
     }
 }
--- a/src/main/java/wingspread/core/Caller.java
+++ b/src/main/java/wingspread/core/Caller.java
@@ -1,31 +1,52 @@
 package wingspread.core;
 
-/** The caller's side of one call, as a front carries it. Nothing is said on a call after its last answer. */
+/**
+ * The caller's side of one call, implemented by the protocol fronts. A call gets exactly one final answer:
+ * established, refused, failed or abandoned. Only an established call is notified of anything after that: of its end.
+ */
 public interface Caller {
-    /** The call stands; the description is the exchange's, unchanged. */
+    /**
+     * Final answer: the call is established.
+     *
+     * @param description session description of the exchange, unchanged
+     */
     void stands(byte[] description);
 
-    /** Final answer: refused; {@code wait} is how long to stay away in microseconds, 0 for no advice. */
+    /**
+     * Final answer: the call is refused.
+     *
+     * @param wait how long the caller should wait before a redial, in microseconds; 0 for no advice
+     */
     void refused(long wait);
 
-    /** Final answer: failed. */
+    /** Final answer: the call failed. */
     void failed();
 
     /**
-     * Heard that the caller gives the set-up up, before any answer was given. Guards against a caller whose time is up
-     * a moment before the answer comes: it still waits for that for a while, and would never hear one. A wire on which
-     * giving up has an answer of its own says nothing here.
+     * Confirms that the caller has abandoned the set-up before any other answer was given. A caller whose deadline
+     * passes just before the answer would arrive still waits for one for a while, and without this would never get
+     * any. Does nothing for a protocol with its own response to a cancellation.
      */
     default void givenUp() { }
 
-    /** A call that stood is over. */
+    /**
+     * Notifies the caller that an established call has ended.
+     *
+     * @param cause Q.850 cause
+     */
     void over(int cause);
 
-    /** Whether a program started in place of this one could tell the caller that a call which stands is over. */
+    /** Whether the process that replaces this one could notify the caller of the end of an established call. */
     boolean outlivesRestart();
 
-    /** Where the release of a call goes that this program did not set up: to whoever its caller may be. */
+    /** Receives the releases of calls that this process did not set up, to pass them on to their callers. */
     interface Strangers {
+        /**
+         * Passes on the release of a call by an exchange.
+         *
+         * @param call id of the call
+         * @param cause Q.850 cause
+         */
         void over(String call, int cause);
     }
 }
--- a/src/main/java/wingspread/core/Event.java
+++ b/src/main/java/wingspread/core/Event.java
@@ -7,52 +7,52 @@
 import wingspread.control.CallControl.Report;
 import wingspread.control.CallControl.Status;
 
-/** What the forwarders tell a planner. */
+/** An event that a forwarder posts to a {@link Planner}. Causes are those of Q.850, exchanges are given by address. */
 public sealed interface Event {
-    /** A call has come in. */
+    /** A caller has requested a call. */
     record Offered(Request request, Caller caller) implements Event { }
 
-    /** A caller waits no longer for the answer to its set-up; a set-up of another caller is not meant. */
+    /** A caller has abandoned its own set-up; a set-up of another caller with the same call id is not affected. */
     record GivenUp(String call, Caller caller) implements Event { }
 
-    /** A caller released a call that stands. */
+    /** A caller has released an established call. */
     record CallerEnded(String call, int cause) implements Event { }
 
-    /** An exchange says that the call stands. */
+    /** An exchange has answered a set-up: the call is established. */
     record Answered(long exchange, String call, byte[] description) implements Event { }
 
-    /** An exchange turned a set-up away. */
+    /** An exchange has rejected a set-up. */
     record Rejected(long exchange, String call, Status status, Cause cause, Report report)
             implements Event { }
 
-    /** An exchange released a call that stood. */
+    /** An exchange has released an established call. */
     record Released(long exchange, String call, int cause, Report report) implements Event { }
 
-    /** A set-up ended on this side: not sent, its connection lost, or cancelled. */
+    /** A set-up has ended on this side: it was not sent, its connection was lost, or it was cancelled. */
     record Broken(Attempt attempt, Status status) implements Event { }
 
-    /** The processor of an exchange has died: the calls through it are cut. */
+    /** The process of an exchange is down: the calls through it are cut. */
     record Died(long exchange) implements Event { }
 
     /**
-     * The free circuits toward an exchange.
+     * An exchange has reported the free circuits toward it.
      *
-     * @param openedAt when the connection came up whose first message this is, in microseconds; {@link #UNSOLICITED}
-     *     where the exchange tells of a change
+     * @param openedAt when the connection was established on which this is the first message, in microseconds;
+     *     {@link #UNSOLICITED} if the exchange reports a change
      */
     record Reported(long exchange, Report report, long openedAt) implements Event {
-        /** No first message of a connection. */
+        /** Value of {@code openedAt} for a report that is not the first message on a connection. */
         public static final long UNSOLICITED = Long.MIN_VALUE;
 
-        /** The free circuits have changed. */
+        /** Creates the report of a change of the free circuits. */
         public Reported(long exchange, Report report) {
             this(exchange, report, UNSOLICITED);
         }
     }
 
-    /** An exchange has sent something that no other event tells of: it lives. */
+    /** An exchange has sent a message for which there is no other event, which shows that it is alive. */
     record Heard(long exchange) implements Event { }
 
-    /** News of the list of exchanges. */
+    /** The list of exchanges has been received or updated. */
     record Listed(ListKind kind, List<Exchange> entries) implements Event { }
 }
--- a/src/main/java/wingspread/core/Exchanges.java
+++ b/src/main/java/wingspread/core/Exchanges.java
@@ -1,29 +1,29 @@
 package wingspread.core;
 
-/** The planner's port toward the exchanges; what comes of its calls returns as {@link Event}s. */
+/** The planner's interface to the exchanges; the results of its calls are posted back as {@link Event}s. */
 public interface Exchanges {
-    /** Sends a set-up. */
+    /** Sends a set-up to the exchange of the attempt. */
     void invite(Attempt attempt);
 
-    /** Gives a set-up up: its time is over, or its caller gone. */
+    /** Cancels a set-up whose deadline has passed or whose caller has abandoned the call. */
     void withdraw(Attempt attempt);
 
-    /** Releases a call that an exchange holds to stand. */
+    /** Releases a call that an exchange regards as established; {@code cause} is that of Q.850. */
     void release(long exchange, String call, int cause);
 
     /** Closes the idle connections to an exchange. */
     void closeIdle(long exchange);
 
-    /** Whether an exchange may be gone without a word; not so in a model that tells of every end. */
+    /** Whether an exchange may disappear without any event; false in a model that reports every end of a call. */
     default boolean mayFallSilent() {
         return true;
     }
 
     /**
-     * Opens a fresh connection to an exchange that has been silent for a while; whatever comes on it, or on another,
-     * returns as an event.
+     * Opens a new connection to an exchange that has not sent anything for a while. Any message received from the
+     * exchange, on this or on another connection, is posted as an event.
      *
-     * @return false where none can be opened now for reasons of this side
+     * @return false if no connection can be opened now for local reasons
      */
     boolean check(long exchange);
 }
--- a/src/main/java/wingspread/core/PlannedEnd.java
+++ b/src/main/java/wingspread/core/PlannedEnd.java
@@ -1,94 +1,94 @@
 package wingspread.core;
 
 /**
- * The planned end of a softswitch, from SIGTERM to its exit: what is done next, by what is still owed. Free of I/O; all
- * times are microseconds on the host's clock.
+ * The graceful shutdown of a softswitch from SIGTERM to its exit: decides on the next step by the calls and connections
+ * that are left. Performs no I/O; all times are microseconds on the host's clock.
  *
- * <p>The figures are the platform's: new connections keep arriving for 0.4 s at the most, requests on open ones for
- * 0.2 s beyond that, and SIGKILL comes no earlier than 0.7 s after the longest deadline, which is taken as 3 s where it
- * is longer. So no answer may be planned for a later time than that, whatever time its caller leaves.
+ * <p>The times follow from the platform's guarantees. After SIGTERM, new connections keep arriving for at most 0.4 s,
+ * and requests on open connections for another 0.2 s. SIGKILL follows no earlier than 0.7 s after the maximum call
+ * deadline, which counts as at most 3 s. Every call must be answered before then, even if its own deadline is later.
  */
 public final class PlannedEnd {
-    private static final long LONGEST_DEADLINE = 3_000_000;
-    private static final long KILL_AFTER_DEADLINE = 700_000;
-    /** New connections arrive for so long, and what is late on its way a little longer. */
-    private static final long CONNECTIONS_COME = 500_000;
-    /** Requests arrive for so long on a connection that came up last. */
-    private static final long REQUESTS_COME = 200_000;
-    /** Calls that stand may run on for so long beyond that, before they are left to the next program. */
-    private static final long RUN_ON = 1_000_000;
+    private static final long MAX_DEADLINE_MICROS = 3_000_000;
+    private static final long KILL_AFTER_DEADLINE_MICROS = 700_000;
+    /** Time after SIGTERM in which new connections arrive, with a margin for late ones. */
+    private static final long CONNECTION_ARRIVAL_MICROS = 500_000;
+    /** Time in which requests arrive on the last accepted connections. */
+    private static final long REQUEST_ARRIVAL_MICROS = 200_000;
+    /** Further time in which established calls may end normally before they are left to the next process. */
+    private static final long ESTABLISHED_CALL_GRACE_MICROS = 1_000_000;
     /**
-     * From the last answer to SIGKILL. Guards against a loop that is late by some turns on a part of a core, and covers
-     * the time to notice that all is answered, to flush and to exit.
+     * From the last answer to SIGKILL. Allows for an event loop that is several turns late on a fraction of a core, and
+     * covers the time to detect that all calls are answered, to flush and to exit.
      */
-    private static final long TO_FLUSH = 300_000;
-    /** From the latest exit to SIGKILL. */
-    private static final long TO_EXIT = 100_000;
+    private static final long FLUSH_MARGIN_MICROS = 300_000;
+    /** From the latest exit of the process to SIGKILL. */
+    private static final long EXIT_MARGIN_MICROS = 100_000;
 
-    /** What to do now. */
+    /** The next action of the softswitch. */
     public enum Step {
-        /** Serve on. */
+        /** Continue to serve. */
         SERVE,
-        /** Serve on, but take no further connections: those that are in the listener's queue come first. */
+        /** Continue to serve, but accept the connections in the listener's queue and then stop listening. */
         STOP_LISTENING,
         /**
-         * Refuse new set-ups, and close each connection of callers that owes no answer and carries no call that stands.
-         * The others may stay until the ends of their calls are told. Guards against a request that comes between the
-         * last look and the exit: calls in transit keep coming for as long as a connection is open, and one that
-         * crosses such a close is sent elsewhere by its caller.
+         * Refuse new set-ups, and close every caller connection with no pending answer and no established call. The
+         * others may stay open until their callers are notified of the ends of their calls. Early closes prevent the
+         * loss of a request that arrives between the last check and the exit: calls in transit keep arriving as long
+         * as a connection is open, but a call that crosses a close is sent elsewhere by its caller.
          */
         CLOSE_UNUSED,
         /**
-         * Hand over what stands, and close the connections to exchanges; once, and nothing is unanswered then. Comes
-         * before the callers' last connections are closed: a release that an exchange sends later could be told to
-         * nobody, and whom the program itself has to tell of an end must still be there.
+         * Hand over the established calls and close the connections to the exchanges. Comes once, after all calls are
+         * answered and before the last caller connections are closed: a release that an exchange sent later could not
+         * be passed on to its caller, and callers whom this process itself must notify of an end must be reachable.
          */
         HAND_OVER,
-        /** The same as CLOSE_UNUSED, but calls that stand keep no connection open any longer. */
+        /** As {@link #CLOSE_UNUSED}, but connections with established calls are closed too. */
         CLOSE_IDLE,
-        /** Leave once what is written has gone out. */
+        /** Exit once all written data has been sent. */
         LEAVE
     }
 
-    private final long begun;
-    private final long killed;
+    private final long startedAt;
+    private final long killAt;
     private boolean listening = true;
     private boolean handedOver;
-    /** When the listener was closed. */
+    /** When the listener was closed; undefined before that. */
     private long closedAt;
 
     /**
-     * Begins the end.
+     * Starts the shutdown.
      *
-     * @param now when SIGTERM was heard
-     * @param longestDeadline longest time that a class of call leaves
+     * @param now when SIGTERM was received
+     * @param maxDeadline maximum set-up time of all call classes, in microseconds
      */
-    public PlannedEnd(long now, long longestDeadline) {
-        this.begun = now;
-        this.killed = now + Math.min(longestDeadline, LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
+    public PlannedEnd(long now, long maxDeadline) {
+        this.startedAt = now;
+        this.killAt = now + Math.min(maxDeadline, MAX_DEADLINE_MICROS) + KILL_AFTER_DEADLINE_MICROS;
     }
 
-    /** When every call must have its answer. */
+    /** Returns the time by which every call must be answered. */
     public long lastAnswer() {
-        return killed - TO_FLUSH;
+        return killAt - FLUSH_MARGIN_MICROS;
     }
 
-    /** When the program must have left, whatever is still unsent. */
+    /** Returns the time by which the process must exit, whatever is still unsent. */
     public long lastExit() {
-        return killed - TO_EXIT;
+        return killAt - EXIT_MARGIN_MICROS;
     }
 
     /**
-     * The next step: SERVE, one STOP_LISTENING, then SERVE and CLOSE_UNUSED, one HAND_OVER, then CLOSE_IDLE, and one
-     * LEAVE.
+     * Returns the next step. The order is SERVE, one STOP_LISTENING, then SERVE and CLOSE_UNUSED, one HAND_OVER, then
+     * CLOSE_IDLE, and one LEAVE.
      *
-     * @param unanswered calls that are owed an answer, also to callers without a connection
-     * @param standing calls that stand, of which this program may still tell the ends
-     * @param connections that callers hold
+     * @param unanswered number of unanswered calls, including those of callers without a connection
+     * @param established number of established calls of whose ends this process may still notify callers
+     * @param connections number of open caller connections
      */
-    public Step next(long now, long unanswered, long standing, int connections) {
+    public Step next(long now, long unanswered, long established, int connections) {
         if (listening) {
-            if (now < begun + CONNECTIONS_COME && now < lastAnswer() - REQUESTS_COME) {
+            if (now < startedAt + CONNECTION_ARRIVAL_MICROS && now < lastAnswer() - REQUEST_ARRIVAL_MICROS) {
                 return Step.SERVE;
             }
             listening = false;
@@ -98,13 +98,14 @@
         if (now >= lastExit()) {
             return handedOver ? Step.LEAVE : handOver();
         }
-        boolean come = now >= closedAt + REQUESTS_COME;
-        boolean runOut = standing == 0 || now >= closedAt + REQUESTS_COME + RUN_ON
-                || now >= lastAnswer() - REQUESTS_COME;
-        if (!come) {
+        boolean requestsArrived = now >= closedAt + REQUEST_ARRIVAL_MICROS;
+        boolean graceOver = established == 0
+                || now >= closedAt + REQUEST_ARRIVAL_MICROS + ESTABLISHED_CALL_GRACE_MICROS
+                || now >= lastAnswer() - REQUEST_ARRIVAL_MICROS;
+        if (!requestsArrived) {
             return Step.SERVE;
         }
-        if (!runOut) {
+        if (!graceOver) {
             return connections > 0 ? Step.CLOSE_UNUSED : Step.SERVE;
         }
         if (unanswered > 0) {
--- a/src/main/java/wingspread/core/Planner.java
+++ b/src/main/java/wingspread/core/Planner.java
@@ -33,72 +33,88 @@
 import wingspread.turn.Worker;
 
 /**
- * One exchange's identity: its calls, its deadlines and its instance of the module. It knows no wire.
- * Forwarders {@link #post} events; a {@link #turn} hands all of them to the module in one go and then carries
- * out, in order, what the module asked for. Each call gets one final answer, whatever the module asks.
+ * Plans the calls of one softswitch, which acts for one exchange: keeps their state and deadlines, and owns the
+ * instance of {@link CallControl} that decides on them. Independent of the wire protocols.
+ *
+ * <p>Forwarders {@link #post} events. Each {@link #turn} passes all of them to the call control and then carries out
+ * the requested actions in order. Each call gets exactly one final answer, whatever the call control requests. All
+ * times are microseconds on the clock given.
  */
 public final class Planner implements CallControl.Host, Worker {
-    /** Causes of Q.850: normal clearing, temporary failure. */
+    /** Q.850 cause 16, normal call clearing. */
     public static final int NORMAL = 16;
+    /** Q.850 cause 41, temporary failure. */
     public static final int CUT = 41;
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
     private static final long NO_NUMBER = 0;
-    /** An exchange that has lost no call says its releases by then, after the first words of a connection. */
-    private static final long RELEASES_FOLLOW = 500_000;
-    /** An exchange's first words may have been put together so long before they were said. */
-    private static final long REPORT_AGE = 100_000;
-    private static final int MOST_ENDED = 8_192;
-    /** Bytes of descriptions that are kept at a time, a share of the heap. */
-    private static final long MOST_DESCRIPTIONS = 16 << 20;
+    /** Time that an exchange has to send its pending releases after its first report on a connection. */
+    private static final long RELEASE_GRACE_MICROS = 500_000;
+    /** Maximum time from when an exchange composes its first report to when it sends it. */
+    private static final long MAX_REPORT_AGE_MICROS = 100_000;
+    private static final int MAX_ENDED_CALLS = 8_192;
+    /** Total size of the session descriptions kept at a time; limits their share of the heap. */
+    private static final long MAX_DESCRIPTION_BYTES = 16 << 20;
 
     private final LongSupplier clock;
     private final Settings settings;
     private final Exchanges exchanges;
     private final Metrics metrics;
-    private final int mostCalls;
-    private final Caller.Strangers strangers;
+    private final int maxCalls;
+    private final Caller.Strangers unknownCalls;
     private final CallControl control;
     private final CallLog log = new CallLog();
-    /** Null where storms are not damped. */
-    private final StormDesk storms;
+    /** Null if storms of redials are not damped. */
+    private final StormDesk stormGate;
     private final ArrayDeque<Event> inbox = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
     private final Deadlines deadlines = new Deadlines();
     private final Map<String, CallState> byId = new LinkedHashMap<>();
     private final Map<Long, CallState> byNumber = new HashMap<>();
-    private final StandingWatch watch;
-    /** When each exchange that is listed was started. */
-    private final Map<Long, Long> started = new HashMap<>();
-    /** Ids of the calls that have ended last, oldest first. */
-    private final Set<String> over = new LinkedHashSet<>();
+    private final StandingWatch exchangeMonitor;
+    /** Start time of each listed exchange, by address. */
+    private final Map<Long, Long> startTimes = new HashMap<>();
+    /** Ids of the calls that ended most recently, oldest first. */
+    private final Set<String> endedCallIds = new LinkedHashSet<>();
     private long nextCall = 1;
-    private long descriptions;
-    /** No answer is given later than this; {@link Long#MAX_VALUE} until an end is planned. */
-    private long lastAnswer = Long.MAX_VALUE;
+    private long descriptionBytes;
+    /** Latest time of any answer; {@link Long#MAX_VALUE} until a shutdown is planned. */
+    private long answerDeadline = Long.MAX_VALUE;
     private boolean draining;
 
-    /** A planner that offers every call to the module. */
-    public Planner(LongSupplier clock, Settings settings, Figures figures, long seed, int mostCalls,
-            Exchanges exchanges, Caller.Strangers strangers, Metrics metrics) {
-        this(clock, settings, figures, seed, mostCalls, exchanges, strangers, metrics, null);
+    /**
+     * Creates a planner that offers every call to the call control.
+     *
+     * @param maxCalls open calls kept at a time; further ones are refused
+     * @param unknownCalls receives the releases of calls that this process did not set up
+     */
+    public Planner(LongSupplier clock, Settings settings, Figures parameters, long seed, int maxCalls,
+            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics) {
+        this(clock, settings, parameters, seed, maxCalls, exchanges, unknownCalls, metrics, null);
     }
 
-    /** A planner that asks a gate of these figures first whether a subscriber's redial may go to the module. */
-    public Planner(LongSupplier clock, Settings settings, Figures figures, long seed, int mostCalls,
-            Exchanges exchanges, Caller.Strangers strangers, Metrics metrics, StormFigures storm) {
-        this.storms = storm == null ? null : new StormDesk(clock, settings, storm, seed, metrics, deadlines);
+    /**
+     * Creates a planner that passes subscribers' calls through a storm gate before the call control.
+     *
+     * @param maxCalls open calls kept at a time; further ones are refused
+     * @param unknownCalls receives the releases of calls that this process did not set up
+     * @param stormParameters parameters of the storm gate, which may refuse redials; null for none
+     */
+    public Planner(LongSupplier clock, Settings settings, Figures parameters, long seed, int maxCalls,
+            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics, StormFigures stormParameters) {
+        this.stormGate = stormParameters == null ? null : new StormDesk(clock, settings, stormParameters, seed, metrics,
+                deadlines);
         this.clock = clock;
         this.settings = settings;
         this.exchanges = exchanges;
-        this.strangers = strangers;
+        this.unknownCalls = unknownCalls;
         this.metrics = metrics;
-        this.mostCalls = mostCalls;
-        this.watch = new StandingWatch(clock, deadlines, exchanges,
-                (exchange, silence) -> actions.add(() -> silent(exchange, silence)));
-        this.control = new WindowControl(clock.getAsLong(), settings, figures, seed, this);
+        this.maxCalls = maxCalls;
+        this.exchangeMonitor = new StandingWatch(clock, deadlines, exchanges,
+                (exchange, silenceMicros) -> actions.add(() -> exchangeUnresponsive(exchange, silenceMicros)));
+        this.control = new WindowControl(clock.getAsLong(), settings, parameters, seed, this);
     }
 
-    /** Takes an event for the next turn. */
+    /** Queues an event for the next turn. */
     public void post(Event event) {
         inbox.add(event);
     }
@@ -123,119 +139,122 @@
     }
 
     /**
-     * From now on every call has its answer by this time at the latest, whatever time its caller leaves: those that are
-     * open and those that still come in, which the module hears of with so much less time. Guards against SIGKILL,
-     * which may come before their callers' time is up.
+     * Sets the latest time of any answer, for open calls and for new ones, whose deadlines are shortened to it. SIGKILL
+     * may come before the callers' own deadlines, and every call must be answered by then.
      */
     public void answerBy(long latest) {
-        lastAnswer = Math.min(lastAnswer, latest);
-        watch.hurry();
+        answerDeadline = Math.min(answerDeadline, latest);
+        exchangeMonitor.expediteChecks();
         for (CallState state : byId.values()) {
-            if (!state.answered && state.request.deadline() > lastAnswer) {
-                deadlines.add(lastAnswer, () -> actions.add(() -> overdue(state)));
+            if (!state.answered && state.request.deadline() > answerDeadline) {
+                deadlines.add(answerDeadline, () -> actions.add(() -> answerOverdue(state)));
             }
         }
     }
 
-    /** From now on every call that comes in is refused at once; those that are open go on. */
+    /** Refuses every new call from now on; open calls continue. */
     public void refuseNew() {
         draining = true;
     }
 
-    /** Calls that are owed an answer. */
+    /** Returns the number of calls that have no final answer yet. */
     public long unanswered() {
         return byId.values().stream().filter(state -> !state.answered).count();
     }
 
     /**
-     * Calls that stand.
+     * Returns the number of established calls.
      *
-     * @param connected whether callers are there who would be told of an end, also of a call that outlives this program
+     * @param connected whether callers hold connections on which they can be notified of an end; if not, calls that
+     *     survive a restart of this process are not counted
      */
     public long standing(boolean connected) {
         return byId.values().stream()
-                .filter(state -> state.standing() && (connected || !state.caller.outlivesRestart())).count();
+                .filter(state -> state.isEstablished() && (connected || !state.caller.outlivesRestart())).count();
     }
 
     /**
-     * Ends what would end with the program: set-ups, and standing calls whose callers no successor could tell, also
-     * since their exchange is silent and may never release them. The others stand on; the exchanges' releases find
-     * their callers through the program that is started next.
+     * Ends what cannot outlive this process: pending set-ups, and established calls whose callers the next process
+     * could not notify, because the caller's protocol does not allow it or because the exchange is unresponsive and may
+     * never release them. The other calls stay established; the next process passes the exchanges' releases on to
+     * their callers.
      */
     public void handOver() {
         long now = clock.getAsLong();
         for (CallState state : List.copyOf(byId.values())) {
-            if (state.standing()
-                    && (!state.caller.outlivesRestart() || watch.suspect(now, state.last().exchange()))) {
-                exchanges.release(state.last().exchange(), state.request.id(), CUT);
-                finish(clock.getAsLong(), state, Status.CANCELLED, Report.NOTHING, CUT, EndReason.PLANNED_END);
-            } else if (state.out()) {
-                exchanges.withdraw(state.last());
-                state.last().end();
-                forgetIfDone(state);
+            if (state.isEstablished()
+                    && (!state.caller.outlivesRestart()
+                    || exchangeMonitor.isSuspect(now, state.lastAttempt().exchange()))) {
+                exchanges.release(state.lastAttempt().exchange(), state.request.id(), CUT);
+                endEstablishedCall(clock.getAsLong(), state, Status.CANCELLED, Report.NOTHING, CUT,
+                        EndReason.PLANNED_END);
+            } else if (state.hasPendingAttempt()) {
+                exchanges.withdraw(state.lastAttempt());
+                state.lastAttempt().end();
+                removeIfDone(state);
             }
         }
     }
 
-    // Events.
+    // Event handlers.
 
     private void handle(long now, Event event) {
-        hear(now, event);
+        recordSignOfLife(now, event);
         if (event instanceof Event.Offered e) {
-            offered(now, e.request(), e.caller());
+            callOffered(now, e.request(), e.caller());
         } else if (event instanceof Event.GivenUp e) {
-            givenUp(now, e.call(), e.caller());
+            callerAbandoned(now, e.call(), e.caller());
         } else if (event instanceof Event.CallerEnded e) {
-            callerEnded(now, e.call(), e.cause());
+            callerReleased(now, e.call(), e.cause());
         } else if (event instanceof Event.Answered e) {
-            answered(now, e);
+            exchangeAnswered(now, e);
         } else if (event instanceof Event.Rejected e) {
-            Attempt attempt = attempt(e.exchange(), e.call());
+            Attempt attempt = findAttempt(e.exchange(), e.call());
             if (attempt != null && attempt.out()) {
-                ended(now, attempt, e.status(), e.cause(), e.report());
+                endAttempt(now, attempt, e.status(), e.cause(), e.report());
             }
         } else if (event instanceof Event.Released e) {
-            released(now, e);
+            exchangeReleased(now, e);
         } else if (event instanceof Event.Broken e) {
             if (e.attempt().out()) {
-                ended(now, e.attempt(), e.status(), Cause.NONE, Report.NOTHING);
+                endAttempt(now, e.attempt(), e.status(), Cause.NONE, Report.NOTHING);
             }
         } else if (event instanceof Event.Died e) {
-            cutAll(now, e.exchange(), Long.MAX_VALUE, EndReason.EXCHANGE_DOWN);
+            endCallsSentBefore(now, e.exchange(), Long.MAX_VALUE, EndReason.EXCHANGE_DOWN);
         } else if (event instanceof Event.Reported e) {
-            if (e.openedAt() != Event.Reported.UNSOLICITED && watch.watches(e.exchange())) {
-                deadlines.add(now + RELEASES_FOLLOW, () -> actions.add(() -> audit(e)));
+            if (e.openedAt() != Event.Reported.UNSOLICITED && exchangeMonitor.isMonitored(e.exchange())) {
+                deadlines.add(now + RELEASE_GRACE_MICROS, () -> actions.add(() -> checkForLostCalls(e)));
             }
-            if (storms != null) {
-                storms.reported(now, e.exchange(), e.report());
+            if (stormGate != null) {
+                stormGate.circuitsReported(now, e.exchange(), e.report());
             }
             control.onReport(now, e.exchange(), Status.OK, 0, e.report());
         } else if (event instanceof Event.Listed e) {
-            listed(now, e);
+            exchangesListed(now, e);
         }
     }
 
-    /** Whatever an exchange sends shows that it lives. */
-    private void hear(long now, Event event) {
+    /** Notes that an exchange is alive if the event is due to a message from it. */
+    private void recordSignOfLife(long now, Event event) {
         if (event instanceof Event.Heard e) {
-            watch.heard(now, e.exchange());
+            exchangeMonitor.recordMessage(now, e.exchange());
         } else if (event instanceof Event.Answered e) {
-            watch.heard(now, e.exchange());
+            exchangeMonitor.recordMessage(now, e.exchange());
         } else if (event instanceof Event.Rejected e) {
-            watch.heard(now, e.exchange());
+            exchangeMonitor.recordMessage(now, e.exchange());
         } else if (event instanceof Event.Released e) {
-            watch.heard(now, e.exchange());
+            exchangeMonitor.recordMessage(now, e.exchange());
         } else if (event instanceof Event.Reported e) {
-            watch.heard(now, e.exchange());
+            exchangeMonitor.recordMessage(now, e.exchange());
         }
     }
 
-    private void offered(long now, Request asked, Caller caller) {
-        Request request = asked.by(lastAnswer);
+    private void callOffered(long now, Request received, Caller caller) {
+        Request request = received.withDeadlineAtMost(answerDeadline);
         metrics.count("taken.calls");
-        log.taken(request, now);
-        // Guards against a set-up under the id of a call that is open, which must not start a second attempt: it
-        // fails, whatever else it asks for, and the first one goes on.
+        log.received(request, now);
+        // A set-up with the id of an open call must not start a second attempt: it fails, whatever else it requests,
+        // and the first one continues.
         if (byId.containsKey(request.id())) {
             metrics.count("taken.repeats");
             log.answered(request.id(), "failed", AnswerReason.REPEATED_ID, 0);
@@ -248,32 +267,32 @@
             caller.refused(0);
             return;
         }
-        // Guards against more calls than the memory can hold: refused before the module hears of them.
-        if (byId.size() >= mostCalls || descriptions + request.description().length > MOST_DESCRIPTIONS) {
+        // Calls beyond what the memory can hold are refused before they reach the call control.
+        if (byId.size() >= maxCalls || descriptionBytes + request.description().length > MAX_DESCRIPTION_BYTES) {
             metrics.count("answered.overfull");
             log.answered(request.id(), "refused", AnswerReason.TOO_MANY_CALLS, 0);
             caller.refused(settings.maxRetryAfter());
             return;
         }
         CallState state = new CallState(request, caller, nextCall++);
-        if (storms != null && !request.transit()) {
-            Optional<Try> seen = storms.offered(now, request, number(request.number()), caller);
-            if (seen.isEmpty()) {
+        if (stormGate != null && !request.transit()) {
+            Optional<Try> admitted = stormGate.admit(now, request, parseNumber(request.number()), caller);
+            if (admitted.isEmpty()) {
                 log.answered(request.id(), "refused", AnswerReason.STORM, 0);
                 return;
             }
-            state.tried = seen.get();
+            state.callOffer = admitted.get();
         }
         byId.put(request.id(), state);
-        byNumber.put(state.number, state);
-        descriptions += request.description().length;
-        deadlines.add(request.deadline(), () -> actions.add(() -> overdue(state)));
-        control.onCall(now, new CallControl.Call(state.number, request.callClass(), number(request.number()),
+        byNumber.put(state.callNumber, state);
+        descriptionBytes += request.description().length;
+        deadlines.add(request.deadline(), () -> actions.add(() -> answerOverdue(state)));
+        control.onCall(now, new CallControl.Call(state.callNumber, request.callClass(), parseNumber(request.number()),
                 request.deadline(), request.destination(), request.width(), request.via(), request.redial(),
                 request.transit(), request.cut()));
     }
 
-    private static long number(String text) {
+    private static long parseNumber(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
@@ -282,299 +301,308 @@
     }
 
     /**
-     * Guards against a module that lets a caller's time run out: the answer owed is given all the same, after
-     * what the module has already asked for.
+     * Fails a call whose deadline has passed although the call control has not answered it. Runs after the actions
+     * that the call control has already requested.
      */
-    private void overdue(CallState state) {
+    private void answerOverdue(CallState state) {
         if (!state.answered) {
-            boolean early = state.request.deadline() > lastAnswer;
-            LOG.warn("call {} came to {} unanswered", state.request.id(), early ? "the planned end" : "its deadline");
-            control.onDropped(clock.getAsLong(), state.number);
-            failed(state);
+            boolean early = state.request.deadline() > answerDeadline;
+            LOG.warn("call {} reached {} without an answer", state.request.id(),
+                    early ? "the shutdown deadline" : "its deadline");
+            control.onDropped(clock.getAsLong(), state.callNumber);
+            recordFailedOffer(state);
             log.answered(state.request.id(), "failed", early ? AnswerReason.PLANNED_END : AnswerReason.DEADLINE,
                     state.attempts.size());
             answer(state, "failed", state.caller::failed);
         }
     }
 
-    /** Its caller got nothing and may dial again. */
-    private void failed(CallState state) {
-        if (state.tried != null) {
-            storms.failed(state.tried);
+    /** Reports to the storm gate that the caller got no call and may redial. */
+    private void recordFailedOffer(CallState state) {
+        if (state.callOffer != null) {
+            stormGate.recordFailure(state.callOffer);
         }
     }
 
-    private void callerEnded(long now, String id, int cause) {
+    private void callerReleased(long now, String id, int cause) {
         CallState state = byId.get(id);
-        if (state != null && state.standing()) {
+        if (state != null && state.isEstablished()) {
             metrics.count("taken.releases");
-            exchanges.release(state.last().exchange(), id, cause);
-            state.last().end();
-            watch.over(state.last().exchange());
-            log.over(state.last(), EndReason.CALLER_RELEASED, cause);
-            outcome(now, state, state.last(), Status.CANCELLED, Cause.NONE, Report.NOTHING);
-            forgetIfDone(state);
+            exchanges.release(state.lastAttempt().exchange(), id, cause);
+            state.lastAttempt().end();
+            exchangeMonitor.callEnded(state.lastAttempt().exchange());
+            log.callEnded(state.lastAttempt(), EndReason.CALLER_RELEASED, cause);
+            reportOutcome(now, state, state.lastAttempt(), Status.CANCELLED, Cause.NONE, Report.NOTHING);
+            removeIfDone(state);
         }
     }
 
     /**
-     * Guards against a caller that asked under the id of another's open call and then closes: only the caller
-     * whose set-up was taken can give it up. One whose call came to stand at the same time was not told so.
+     * Abandons a set-up. Only the caller whose set-up was accepted can do so: another one may have used the id of this
+     * open call and then closed its connection. If the call was established at the same time, its caller did not know
+     * yet, and the call is released.
      */
-    private void givenUp(long now, String id, Caller caller) {
+    private void callerAbandoned(long now, String id, Caller caller) {
         CallState state = byId.get(id);
         if (state == null || state.caller != caller) {
             return;
         }
         if (state.answered) {
-            callerEnded(now, id, NORMAL);
+            callerReleased(now, id, NORMAL);
         } else {
             metrics.count("taken.given-up");
-            log.answered(id, "given up", AnswerReason.CALLER_GAVE_UP, state.attempts.size());
+            log.answered(id, "abandoned", AnswerReason.CALLER_GAVE_UP, state.attempts.size());
             state.answered = true;
             state.caller.givenUp();
-            failed(state);
-            control.onDropped(now, state.number);
-            forgetIfDone(state);
+            recordFailedOffer(state);
+            control.onDropped(now, state.callNumber);
+            removeIfDone(state);
         }
     }
 
-    private void answered(long now, Event.Answered e) {
-        Attempt attempt = attempt(e.exchange(), e.call());
-        if (attempt != null && attempt.standing()) {
+    private void exchangeAnswered(long now, Event.Answered event) {
+        Attempt attempt = findAttempt(event.exchange(), event.call());
+        if (attempt != null && attempt.isEstablished()) {
             return;
         }
-        CallState state = byId.get(e.call());
-        // Guards against an answer that crosses our CANCEL or time-out: the exchange holds a call to stand that
-        // nobody waits for, and would keep its circuits.
+        CallState state = byId.get(event.call());
+        // The answer may have crossed a CANCEL or a time-out of this side. The exchange then regards the call as
+        // established and would keep its circuits, although no caller waits for it.
         if (attempt == null || !attempt.out() || state.answered) {
             metrics.count("sent.crossed-releases");
-            log.crossed(e.call(), e.exchange());
-            exchanges.release(e.exchange(), e.call(), NORMAL);
+            log.lateAnswer(event.call(), event.exchange());
+            exchanges.release(event.exchange(), event.call(), NORMAL);
             if (attempt != null && attempt.out()) {
-                ended(now, attempt, Status.CANCELLED, Cause.NONE, Report.NOTHING);
+                endAttempt(now, attempt, Status.CANCELLED, Cause.NONE, Report.NOTHING);
             }
             return;
         }
-        attempt.stand(now);
-        watch.stood(now, attempt.exchange());
-        log.stood(attempt, now);
-        control.onStood(now, state.number, attempt.index(), attempt.exchange(), now - attempt.sentAt());
-        if (state.tried != null) {
-            storms.gotThrough(now, state.tried);
+        attempt.establish(now);
+        exchangeMonitor.callEstablished(now, attempt.exchange());
+        log.established(attempt, now);
+        control.onStood(now, state.callNumber, attempt.index(), attempt.exchange(), now - attempt.sentAt());
+        if (state.callOffer != null) {
+            stormGate.recordSuccess(now, state.callOffer);
         }
-        answer(state, "stood", () -> state.caller.stands(e.description()));
+        answer(state, "stood", () -> state.caller.stands(event.description()));
     }
 
-    private void released(long now, Event.Released e) {
-        CallState state = byId.get(e.call());
-        // Guards the callers of a program that ended before this one was started: their calls stand without it.
-        // An exchange says a release again on its next connection, which must not reach the caller twice.
-        if (state == null && rememberOver(e.call())) {
+    private void exchangeReleased(long now, Event.Released event) {
+        CallState state = byId.get(event.call());
+        // The call may have been set up by a process that ended before this one was started, and its caller must be
+        // notified. An exchange repeats a release on its next connection, which must not reach the caller twice.
+        if (state == null && rememberEnded(event.call())) {
             metrics.count("answered.strangers");
-            log.unknownReleased(e.call(), e.exchange(), e.cause());
-            strangers.over(e.call(), e.cause());
+            log.unknownCallReleased(event.call(), event.exchange(), event.cause());
+            unknownCalls.over(event.call(), event.cause());
         }
-        Attempt attempt = attempt(e.exchange(), e.call());
-        if (attempt != null && attempt.standing()) {
-            finish(now, state, e.cause() == NORMAL ? Status.OK : Status.RESET, e.report(), e.cause(),
-                    EndReason.EXCHANGE_RELEASED);
+        Attempt attempt = findAttempt(event.exchange(), event.call());
+        if (attempt != null && attempt.isEstablished()) {
+            endEstablishedCall(now, state, event.cause() == NORMAL ? Status.OK : Status.RESET, event.report(),
+                    event.cause(), EndReason.EXCHANGE_RELEASED);
         } else if (attempt != null && attempt.out()) {
-            ended(now, attempt, Status.RESET, Cause.NONE, e.report());
+            endAttempt(now, attempt, Status.RESET, Cause.NONE, event.report());
         }
     }
 
-    private void listed(long now, Event.Listed e) {
-        control.onExchangeList(now, e.kind(), e.entries());
-        for (Exchange entry : e.entries()) {
+    private void exchangesListed(long now, Event.Listed event) {
+        control.onExchangeList(now, event.kind(), event.entries());
+        for (Exchange entry : event.entries()) {
             if (entry.readiness() == Readiness.GONE) {
-                cutAll(now, entry.address(), Long.MAX_VALUE, EndReason.EXCHANGE_REMOVED);
-                started.remove(entry.address());
-                if (storms != null) {
-                    storms.gone(entry.address());
+                endCallsSentBefore(now, entry.address(), Long.MAX_VALUE, EndReason.EXCHANGE_REMOVED);
+                startTimes.remove(entry.address());
+                if (stormGate != null) {
+                    stormGate.exchangeRemoved(entry.address());
                 }
                 continue;
             }
-            Long before = started.put(entry.address(), entry.upSince());
-            boolean restarted = before != null && entry.upSince() > before;
-            if (storms != null) {
-                storms.listed(now, entry, restarted);
+            Long previousStart = startTimes.put(entry.address(), entry.upSince());
+            boolean restarted = previousStart != null && entry.upSince() > previousStart;
+            if (stormGate != null) {
+                stormGate.exchangeListed(now, entry, restarted);
             }
             if (restarted) {
-                cutAll(now, entry.address(), entry.upSince(), EndReason.EXCHANGE_RESTARTED);
+                endCallsSentBefore(now, entry.address(), entry.upSince(), EndReason.EXCHANGE_RESTARTED);
             }
         }
     }
 
-    /** Ends the calls that stood through an exchange and were sent before it last started. */
-    private void cutAll(long now, long exchange, long sentBefore, EndReason reason) {
-        for (CallState state : standingThrough(exchange, attempt -> attempt.sentAt() < sentBefore)) {
-            finish(now, state, Status.RESET, Report.NOTHING, CUT, reason);
+    /** Ends the calls established through an exchange whose set-ups were sent before the given time. */
+    private void endCallsSentBefore(long now, long exchange, long sentBefore, EndReason reason) {
+        for (CallState state : establishedCallsThrough(exchange, attempt -> attempt.sentAt() < sentBefore)) {
+            endEstablishedCall(now, state, Status.RESET, Report.NOTHING, CUT, reason);
         }
     }
 
-    private List<CallState> standingThrough(long exchange, Predicate<Attempt> which) {
-        return byId.values().stream().filter(state -> state.standing() && state.last().exchange() == exchange
-                && which.test(state.last())).toList();
+    private List<CallState> establishedCallsThrough(long exchange, Predicate<Attempt> condition) {
+        return byId.values().stream().filter(state -> state.isEstablished()
+                && state.lastAttempt().exchange() == exchange && condition.test(state.lastAttempt())).toList();
     }
 
-    /** An exchange has been silent for too long: its calls are over for their callers, and for it if it lives. */
-    private void silent(long exchange, long silence) {
-        giveUp(exchange, EndReason.EXCHANGE_SILENT, silence, attempt -> true);
+    /** Ends the calls on an exchange that has been unresponsive for too long, also at the exchange if it is alive. */
+    private void exchangeUnresponsive(long exchange, long silenceMicros) {
+        endCallsOfExchange(exchange, EndReason.EXCHANGE_SILENT, silenceMicros, attempt -> true);
     }
 
-    /** Holds what an exchange said first on a connection against its calls; its releases have had their time since. */
-    private void audit(Event.Reported first) {
-        Predicate<Attempt> before = attempt -> attempt.stoodAt() < first.openedAt() - REPORT_AGE;
-        double width = standingThrough(first.exchange(), before).stream().mapToDouble(h -> h.request.width()).sum();
-        if (ExchangeLiveness.lacksCalls(first.report(), width)) {
-            giveUp(first.exchange(), EndReason.EXCHANGE_LOST_CALLS, 0, before);
+    /**
+     * Compares the first report of an exchange on a connection with the calls established through it, after the time
+     * in which it sends its pending releases. If it holds too few circuits for them, it has lost the calls.
+     */
+    private void checkForLostCalls(Event.Reported firstReport) {
+        Predicate<Attempt> establishedBefore =
+                attempt -> attempt.establishedAt() < firstReport.openedAt() - MAX_REPORT_AGE_MICROS;
+        double width = establishedCallsThrough(firstReport.exchange(), establishedBefore).stream()
+                .mapToDouble(state -> state.request.width()).sum();
+        if (ExchangeLiveness.lacksCalls(firstReport.report(), width)) {
+            endCallsOfExchange(firstReport.exchange(), EndReason.EXCHANGE_LOST_CALLS, 0, establishedBefore);
         }
     }
 
-    private void giveUp(long exchange, EndReason reason, long silence, Predicate<Attempt> which) {
+    private void endCallsOfExchange(long exchange, EndReason reason, long silenceMicros, Predicate<Attempt> condition) {
         long now = clock.getAsLong();
-        List<CallState> calls = standingThrough(exchange, which);
+        List<CallState> calls = establishedCallsThrough(exchange, condition);
         if (calls.isEmpty()) {
             return;
         }
         metrics.count("exchanges.down." + reason);
-        log.exchangeDown(exchange, reason, calls.size(), silence);
+        log.exchangeDown(exchange, reason, calls.size(), silenceMicros);
         for (CallState state : calls) {
-            // Should the exchange be there after all, it must not keep the circuits.
+            // If the exchange is alive after all, it must not keep the circuits.
             exchanges.release(exchange, state.request.id(), CUT);
-            finish(now, state, Status.RESET, Report.NOTHING, CUT, reason);
+            endEstablishedCall(now, state, Status.RESET, Report.NOTHING, CUT, reason);
         }
     }
 
-    /** A standing call is over. */
-    private void finish(long now, CallState state, Status status, Report report, int cause, EndReason reason) {
-        Attempt attempt = state.last();
+    /** Ends an established call and notifies its caller. */
+    private void endEstablishedCall(long now, CallState state, Status status, Report report, int cause,
+            EndReason reason) {
+        Attempt attempt = state.lastAttempt();
         attempt.end();
-        watch.over(attempt.exchange());
+        exchangeMonitor.callEnded(attempt.exchange());
         metrics.count(cause == NORMAL ? "answered.over" : "answered.cut");
-        log.over(attempt, reason, cause);
+        log.callEnded(attempt, reason, cause);
         state.caller.over(cause);
-        outcome(now, state, attempt, status, Cause.NONE, report);
-        forgetIfDone(state);
+        reportOutcome(now, state, attempt, status, Cause.NONE, report);
+        removeIfDone(state);
     }
 
-    /** An attempt ended without bringing the call to stand. */
-    private void ended(long now, Attempt attempt, Status status, Cause cause, Report report) {
+    /** Ends an attempt that did not establish its call. */
+    private void endAttempt(long now, Attempt attempt, Status status, Cause cause, Report report) {
         attempt.end();
         metrics.count("ended." + status + (cause == Cause.NONE ? "" : "." + cause));
         log.attemptEnded(attempt, now, status, cause);
-        CallState state = byNumber.get(attempt.call());
-        outcome(now, state, attempt, status, cause, report);
-        forgetIfDone(state);
+        CallState state = byNumber.get(attempt.callNumber());
+        reportOutcome(now, state, attempt, status, cause, report);
+        removeIfDone(state);
     }
 
-    private void outcome(long now, CallState state, Attempt attempt, Status status, Cause cause, Report report) {
-        control.onOutcome(now, new Outcome(state.number, attempt.index(), state.answered, attempt.exchange(),
+    private void reportOutcome(long now, CallState state, Attempt attempt, Status status, Cause cause, Report report) {
+        control.onOutcome(now, new Outcome(state.callNumber, attempt.index(), state.answered, attempt.exchange(),
                 now - attempt.sentAt(), status, cause, 0, report));
     }
 
     /**
-     * The attempt that a message of an exchange is about: the call's last, if it went there. Guards against
-     * pairing by the number of the CSeq, which exchanges do not give back: an answer to a second attempt was
-     * taken for one to the first, and its call released.
+     * Returns the attempt to which a message from an exchange belongs: the last one of the call if it was sent to that
+     * exchange, else null. The CSeq number cannot tell attempts apart, since exchanges do not return it: an answer to
+     * a second attempt would be matched to the first, and its call released.
      */
-    private Attempt attempt(long exchange, String id) {
+    private Attempt findAttempt(long exchange, String id) {
         CallState state = byId.get(id);
-        Attempt last = state == null ? null : state.last();
+        Attempt last = state == null ? null : state.lastAttempt();
         return last != null && last.exchange() == exchange ? last : null;
     }
 
     /**
-     * Guards the module's windows: a call given up in the turn in which its set-up is asked for is kept until the
-     * module has heard what became of that, else the set-up would count as unanswered for ever.
+     * Removes a call for which nothing is pending. A call that is abandoned in the turn in which the call control
+     * requests a set-up is kept until the call control has the outcome; otherwise its window would count the set-up as
+     * unanswered forever.
      */
-    private void forgetIfDone(CallState state) {
-        if (state.answered && !state.asked && !state.out() && !state.standing()) {
+    private void removeIfDone(CallState state) {
+        if (state.answered && !state.sendRequested && !state.hasPendingAttempt() && !state.isEstablished()) {
             byId.remove(state.request.id());
-            rememberOver(state.request.id());
-            if (byNumber.remove(state.number) != null) {
-                descriptions -= state.request.description().length;
+            rememberEnded(state.request.id());
+            if (byNumber.remove(state.callNumber) != null) {
+                descriptionBytes -= state.request.description().length;
             }
         }
     }
 
-    /** Notes that a call is over; false if that was known. */
-    private boolean rememberOver(String call) {
-        if (over.size() >= MOST_ENDED) {
-            over.remove(over.iterator().next());
+    /** Remembers that a call has ended; returns false if this was known already. */
+    private boolean rememberEnded(String call) {
+        if (endedCallIds.size() >= MAX_ENDED_CALLS) {
+            endedCallIds.remove(endedCallIds.iterator().next());
         }
-        return over.add(call);
+        return endedCallIds.add(call);
     }
 
-    private void answer(CallState state, String kind, Runnable saying) {
+    private void answer(CallState state, String kind, Runnable notification) {
         state.answered = true;
         metrics.count("answered." + kind);
-        saying.run();
-        forgetIfDone(state);
+        notification.run();
+        removeIfDone(state);
     }
 
-    // What the module asks for.
+    // Actions requested by the call control.
 
     @Override
     public void send(long call, long exchange, long deadline) {
         CallState state = byNumber.get(call);
-        state.asked = true;
+        state.sendRequested = true;
         actions.add(() -> {
-            state.asked = false;
-            start(state, exchange, deadline);
+            state.sendRequested = false;
+            startAttempt(state, exchange, deadline);
         });
     }
 
-    private void start(CallState state, long exchange, long deadline) {
+    private void startAttempt(CallState state, long exchange, long deadline) {
         long now = clock.getAsLong();
-        Attempt attempt = new Attempt(state.request, state.number, state.attempts.size(), exchange, now,
+        Attempt attempt = new Attempt(state.request, state.callNumber, state.attempts.size(), exchange, now,
                 Math.min(deadline, state.request.deadline()));
-        // Guards the rules whatever the module asks: no second set-up beside one that is out, no set-up of a
-        // call that has its answer, none beyond the most attempts, none to an exchange that the list does not name.
-        if (state.answered || state.out() || attempt.index() >= settings.maxAttempts() || !started.containsKey(exchange)
-                || attempt.deadline() <= now) {
+        // Enforces the platform's rules whatever the call control requests: no set-up while another one is pending,
+        // none for an answered call, none beyond the maximum number of attempts, none to an unlisted exchange.
+        if (state.answered || state.hasPendingAttempt() || attempt.index() >= settings.maxAttempts()
+                || !startTimes.containsKey(exchange) || attempt.deadline() <= now) {
             metrics.count("ended.MOOT.unsent");
-            if (!state.out()) {
+            if (!state.hasPendingAttempt()) {
                 state.attempts.add(attempt);
-                ended(now, attempt, Status.MOOT, Cause.NONE, Report.NOTHING);
+                endAttempt(now, attempt, Status.MOOT, Cause.NONE, Report.NOTHING);
             }
             return;
         }
         state.attempts.add(attempt);
-        deadlines.add(attempt.deadline(), () -> timedOut(attempt));
+        deadlines.add(attempt.deadline(), () -> attemptTimedOut(attempt));
         metrics.count("sent.set-ups");
-        log.sent(attempt);
+        log.attemptSent(attempt);
         exchanges.invite(attempt);
     }
 
-    private void timedOut(Attempt attempt) {
+    private void attemptTimedOut(Attempt attempt) {
         if (attempt.out()) {
             exchanges.withdraw(attempt);
-            ended(clock.getAsLong(), attempt, Status.TIMEOUT, Cause.NONE, Report.NOTHING);
+            endAttempt(clock.getAsLong(), attempt, Status.TIMEOUT, Cause.NONE, Report.NOTHING);
         }
     }
 
     @Override
     public void refuse(long call, long retryAfter) {
-        actions.add(() -> unansweredCall(call, "refused", state -> state.caller.refused(
-                state.tried == null ? retryAfter : storms.refused(state.tried, retryAfter))));
+        actions.add(() -> answerIfOpen(call, "refused", state -> state.caller.refused(
+                state.callOffer == null ? retryAfter : stormGate.waitAfterRefusal(state.callOffer, retryAfter))));
     }
 
     @Override
     public void fail(long call) {
-        actions.add(() -> unansweredCall(call, "failed", state -> {
-            failed(state);
+        actions.add(() -> answerIfOpen(call, "failed", state -> {
+            recordFailedOffer(state);
             state.caller.failed();
         }));
     }
 
-    /** Guards against a second final answer: what has been answered is left alone. */
-    private void unansweredCall(long call, String kind, Consumer<CallState> saying) {
+    /** Gives a call its final answer unless it already has one. */
+    private void answerIfOpen(long call, String kind, Consumer<CallState> notification) {
         CallState state = byNumber.get(call);
         if (state != null && !state.answered) {
             log.answered(state.request.id(), kind, AnswerReason.DECIDED, state.attempts.size());
-            answer(state, kind, () -> saying.accept(state));
+            answer(state, kind, () -> notification.accept(state));
         }
     }
 
@@ -582,9 +610,9 @@
     public void cancel(long call, int attempt) {
         actions.add(() -> {
             CallState state = byNumber.get(call);
-            if (state != null && state.out() && state.last().index() == attempt) {
-                exchanges.withdraw(state.last());
-                inbox.add(new Event.Broken(state.last(), Status.CANCELLED));
+            if (state != null && state.hasPendingAttempt() && state.lastAttempt().index() == attempt) {
+                exchanges.withdraw(state.lastAttempt());
+                inbox.add(new Event.Broken(state.lastAttempt(), Status.CANCELLED));
             }
         });
     }
@@ -596,7 +624,7 @@
 
     @Override
     public void probe(long exchange) {
-        LOG.warn("a probe of exchange {} was asked for; this platform allows none", exchange);
+        LOG.warn("ignoring a probe of exchange {}: this platform does not allow probes", exchange);
     }
 
     @Override
@@ -606,7 +634,7 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-        LOG.warn("a message to softswitch {} was asked for; this platform allows none", peer);
+        LOG.warn("ignoring a message to softswitch {}: this platform does not allow peer messages", peer);
     }
 
     @Override
@@ -616,11 +644,11 @@
 
     @Override
     public void subscribe(boolean on) {
-        // The directory is followed at all times.
+        // No-op: the softswitch is always subscribed to the directory.
     }
 
     @Override
     public void fetchList() {
-        // The directory is followed at all times.
+        // No-op: the softswitch is always subscribed to the directory.
     }
 }
--- a/src/main/java/wingspread/core/StandingWatch.java
+++ b/src/main/java/wingspread/core/StandingWatch.java
@@ -7,123 +7,128 @@
 import wingspread.turn.Deadlines;
 
 /**
- * Watches the exchanges on which calls stand, each by an {@link ExchangeLiveness}: lets a silent one be connected to
- * afresh, and says when one counts as down. Guards callers whose exchange vanishes: neither it nor, while the
- * directory is down, anybody else says that their calls are over. Bounded by the exchanges with calls on them; an
- * exchange is forgotten when its last call is over.
+ * Monitors the exchanges that have established calls, each with an {@link ExchangeLiveness}. Opens new connections to
+ * an unresponsive exchange, and reports an exchange that counts as down. Without this, callers would not be notified
+ * if their exchange vanished: it no longer sends releases, and while the directory is down nothing else reports the
+ * end of the calls. Holds only exchanges with calls on them; an exchange is removed after its last call has ended.
  */
 final class StandingWatch {
     private final LongSupplier clock;
     private final Deadlines deadlines;
     private final Exchanges exchanges;
-    private final Down down;
-    private final Map<Long, Watched> watched = new HashMap<>();
-    private boolean ending;
+    private final DownListener listener;
+    private final Map<Long, MonitoredExchange> monitoredExchanges = new HashMap<>();
+    private boolean shuttingDown;
 
-    /** Who hears that an exchange counts as down, and for how many microseconds it has been silent. */
-    interface Down {
-        void down(long exchange, long silence);
+    /** Is notified when an exchange counts as down. */
+    interface DownListener {
+        /**
+         * Called when an exchange counts as down.
+         *
+         * @param silenceMicros time since the last message from it
+         */
+        void exchangeDown(long exchange, long silenceMicros);
     }
 
-    /** An exchange and the calls that stand on it. */
-    private static final class Watched {
+    /** The liveness of an exchange and the number of calls established on it. */
+    private static final class MonitoredExchange {
         final ExchangeLiveness liveness;
         int calls;
 
-        Watched(long now) {
+        MonitoredExchange(long now) {
             liveness = new ExchangeLiveness(now);
         }
     }
 
-    /** Watches by these deadlines; {@code down} hears of each exchange that counts as down. */
-    StandingWatch(LongSupplier clock, Deadlines deadlines, Exchanges exchanges, Down down) {
+    /** Creates a monitor that schedules its checks in {@code deadlines}. */
+    StandingWatch(LongSupplier clock, Deadlines deadlines, Exchanges exchanges, DownListener listener) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.exchanges = exchanges;
-        this.down = down;
+        this.listener = listener;
     }
 
-    /** A call has come to stand through an exchange, which was heard now. */
-    void stood(long now, long exchange) {
+    /** Adds a call established through an exchange, which has just answered it. */
+    void callEstablished(long now, long exchange) {
         if (!exchanges.mayFallSilent()) {
             return;
         }
-        Watched one = watched.get(exchange);
-        if (one == null) {
-            one = new Watched(now);
-            watched.put(exchange, one);
-            if (ending) {
-                one.liveness.hurry();
+        MonitoredExchange entry = monitoredExchanges.get(exchange);
+        if (entry == null) {
+            entry = new MonitoredExchange(now);
+            monitoredExchanges.put(exchange, entry);
+            if (shuttingDown) {
+                entry.liveness.hurry();
             }
-            await(exchange, one);
+            scheduleCheck(exchange, entry);
         }
-        one.calls++;
+        entry.calls++;
     }
 
-    /** A call that stood is over. */
-    void over(long exchange) {
-        Watched one = watched.get(exchange);
-        if (one != null) {
-            one.calls--;
+    /** Removes an established call that has ended. */
+    void callEnded(long exchange) {
+        MonitoredExchange entry = monitoredExchanges.get(exchange);
+        if (entry != null) {
+            entry.calls--;
         }
     }
 
-    /** Something came from an exchange. */
-    void heard(long now, long exchange) {
-        Watched one = watched.get(exchange);
-        if (one != null) {
-            one.liveness.heard(now);
+    /** Notes a message from an exchange. */
+    void recordMessage(long now, long exchange) {
+        MonitoredExchange entry = monitoredExchanges.get(exchange);
+        if (entry != null) {
+            entry.liveness.heard(now);
         }
     }
 
-    /** The program ends soon: all that are silent are looked into at once. */
-    void hurry() {
-        ending = true;
-        watched.forEach((exchange, one) -> {
-            one.liveness.hurry();
-            await(exchange, one);
+    /** Checks unresponsive exchanges sooner from now on, since the process is shutting down. */
+    void expediteChecks() {
+        shuttingDown = true;
+        monitoredExchanges.forEach((exchange, entry) -> {
+            entry.liveness.hurry();
+            scheduleCheck(exchange, entry);
         });
     }
 
-    /** Whether calls stand on an exchange. */
-    boolean watches(long exchange) {
-        return watched.containsKey(exchange);
+    /** Whether the exchange is monitored: it has established calls, or had some until recently. */
+    boolean isMonitored(long exchange) {
+        return monitoredExchanges.containsKey(exchange);
     }
 
-    /** Whether an exchange with calls on it is silent though it was asked to speak. */
-    boolean suspect(long now, long exchange) {
-        Watched one = watched.get(exchange);
-        return one != null && one.liveness.suspect(now);
+    /** Whether an exchange with calls on it has sent nothing although new connections to it were opened. */
+    boolean isSuspect(long now, long exchange) {
+        MonitoredExchange entry = monitoredExchanges.get(exchange);
+        return entry != null && entry.liveness.suspect(now);
     }
 
-    private void await(long exchange, Watched one) {
-        deadlines.add(one.liveness.due(clock.getAsLong()), () -> look(exchange, one));
+    private void scheduleCheck(long exchange, MonitoredExchange entry) {
+        deadlines.add(entry.liveness.due(clock.getAsLong()), () -> evaluate(exchange, entry));
     }
 
-    private void look(long exchange, Watched one) {
-        if (watched.get(exchange) != one) {
+    private void evaluate(long exchange, MonitoredExchange entry) {
+        if (monitoredExchanges.get(exchange) != entry) {
             return;
         }
-        if (one.calls <= 0) {
-            watched.remove(exchange);
+        if (entry.calls <= 0) {
+            monitoredExchanges.remove(exchange);
             return;
         }
         long now = clock.getAsLong();
-        switch (one.liveness.next(now)) {
+        switch (entry.liveness.next(now)) {
             case DOWN -> {
-                watched.remove(exchange);
-                down.down(exchange, now - one.liveness.heardAt());
+                monitoredExchanges.remove(exchange);
+                listener.exchangeDown(exchange, now - entry.liveness.heardAt());
                 return;
             }
             case CHECK -> {
                 if (exchanges.check(exchange)) {
-                    one.liveness.checked(now);
+                    entry.liveness.checked(now);
                 } else {
-                    one.liveness.notChecked(now);
+                    entry.liveness.notChecked(now);
                 }
             }
             default -> { }
         }
-        await(exchange, one);
+        scheduleCheck(exchange, entry);
     }
 }
--- a/src/main/java/wingspread/core/StormDesk.java
+++ b/src/main/java/wingspread/core/StormDesk.java
@@ -19,7 +19,7 @@
 import wingspread.storm.Try;
 import wingspread.turn.Deadlines;
 
-/** Where a planner asks the gate against storms: it turns requests into tries and verdicts into answers. */
+/** Connects a planner to its {@link StormGate}: converts requests to call offers and verdicts to answers. */
 final class StormDesk {
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
 
@@ -28,93 +28,103 @@
     private final Metrics metrics;
     private final Deadlines deadlines;
     private final StormGate gate;
-    /** Where each exchange that is listed lies, by its address. */
-    private final Map<Long, Integer> places = new HashMap<>();
-    private boolean looking;
+    /** Index of each listed exchange, by address. */
+    private final Map<Long, Integer> placeByAddress = new HashMap<>();
+    private boolean checkScheduled;
 
-    StormDesk(LongSupplier clock, Settings settings, StormFigures figures, long seed, Metrics metrics,
+    StormDesk(LongSupplier clock, Settings settings, StormFigures parameters, long seed, Metrics metrics,
             Deadlines deadlines) {
         this.clock = clock;
         this.settings = settings;
         this.metrics = metrics;
         this.deadlines = deadlines;
-        List<Double> worths = settings.classes().stream().map(CallClass::worth).toList();
-        this.gate = new StormGate(clock.getAsLong(), figures.within(settings.maxRetryAfter()), worths,
-                new SplittableRandom(~seed), this::heard);
+        List<Double> classValues = settings.classes().stream().map(CallClass::worth).toList();
+        this.gate = new StormGate(clock.getAsLong(), parameters.within(settings.maxRetryAfter()), classValues,
+                new SplittableRandom(~seed), this::stormChanged);
     }
 
     /**
-     * A call comes in: the try as the gate counts it; empty where it was turned away, and answered. Guards first tries,
-     * and those whose calls stand, against callers who all dial again at once.
+     * Passes a new call through the gate, which protects fresh calls and established calls from many callers redialling
+     * at once. A call that the gate refuses is answered here.
+     *
+     * @return the call as the gate counts it; empty if it was refused
      */
-    Optional<Try> offered(long now, Request request, long number, Caller caller) {
+    Optional<Try> admit(long now, Request request, long number, Caller caller) {
         StormGate.Verdict verdict = gate.offered(now, new Try(request.destination(), request.callClass(), number,
                 request.redial() || request.cut(), request.width()));
-        lookLater(now);
-        if (verdict instanceof StormGate.TurnedAway away) {
-            metrics.count(away.reason() == StormGate.Reason.EARLY ? "answered.storm-early" : "answered.storm");
-            caller.refused(settings.retryAfter() ? away.advised() : 0);
+        scheduleCheck(now);
+        if (verdict instanceof StormGate.TurnedAway refusal) {
+            metrics.count(refusal.reason() == StormGate.Reason.EARLY ? "answered.storm-early" : "answered.storm");
+            caller.refused(settings.retryAfter() ? refusal.advised() : 0);
             return Optional.empty();
         }
-        Try seen = ((StormGate.Pass) verdict).seen();
-        if (seen.again() && !request.redial() && !request.cut()) {
+        Try admitted = ((StormGate.Pass) verdict).seen();
+        if (admitted.again() && !request.redial() && !request.cut()) {
             metrics.count("taken.unmarked-redials");
         }
-        return Optional.of(seen);
+        return Optional.of(admitted);
     }
 
-    void gotThrough(long now, Try seen) {
-        gate.gotThrough(now, seen);
+    /** Records that a call that passed the gate was established. */
+    void recordSuccess(long now, Try admitted) {
+        gate.gotThrough(now, admitted);
     }
 
-    /** The wait for one whom the module refuses: in a storm a place in the line of those who come back. */
-    long refused(Try seen, long advised) {
-        long wait = gate.refused(clock.getAsLong(), seen, advised);
+    /**
+     * Returns the wait to advise to a caller whom the call control refuses, in microseconds. During a storm the gate
+     * assigns each refused caller its own time for a redial.
+     *
+     * @param advised wait named by the call control; 0 for none
+     */
+    long waitAfterRefusal(Try admitted, long advised) {
+        long wait = gate.refused(clock.getAsLong(), admitted, advised);
         return settings.retryAfter() ? wait : advised;
     }
 
-    void failed(Try seen) {
-        gate.failed(clock.getAsLong(), seen);
+    /** Records that a call that passed the gate failed or was abandoned. */
+    void recordFailure(Try admitted) {
+        gate.failed(clock.getAsLong(), admitted);
     }
 
-    void listed(long now, Exchange entry, boolean restarted) {
-        places.put(entry.address(), entry.place());
+    void exchangeListed(long now, Exchange entry, boolean restarted) {
+        placeByAddress.put(entry.address(), entry.place());
         gate.listed(now, entry.place(), entry.zone());
         if (restarted) {
             gate.cameBack(now, entry.place());
         }
     }
 
-    void gone(long exchange) {
-        places.remove(exchange);
+    void exchangeRemoved(long exchange) {
+        placeByAddress.remove(exchange);
     }
 
-    void reported(long now, long exchange, Report report) {
-        Integer place = places.get(exchange);
+    void circuitsReported(long now, long exchange, Report report) {
+        Integer place = placeByAddress.get(exchange);
         if (place != null) {
             gate.circuits(now, place, report.circuits());
         }
     }
 
-    /** Sees to it that storms end where nobody dials any longer. */
-    private void lookLater(long now) {
-        if (!looking && gate.stormy()) {
-            looking = true;
+    /** Schedules a check during a storm, so that the storm also ends if no more calls arrive. */
+    private void scheduleCheck(long now) {
+        if (!checkScheduled && gate.stormy()) {
+            checkScheduled = true;
             deadlines.add(now + StormGate.LOOK_EVERY, () -> {
-                looking = false;
+                checkScheduled = false;
                 gate.look(clock.getAsLong());
-                lookLater(clock.getAsLong());
+                scheduleCheck(clock.getAsLong());
             });
         }
     }
 
-    private void heard(StormNews news) {
-        metrics.count(news.began() ? "storms.began" : "storms.ended");
-        LOG.atInfo().addKeyValue("reason", news.began() ? "STORM_BEGAN" : "STORM_ENDED")
-                .addKeyValue("scope", news.scope()).addKeyValue("number", news.number())
-                .addKeyValue("redials", hundredths(news.redialsPerSecond()))
-                .addKeyValue("first-tries", hundredths(news.firstTriesPerSecond()))
-                .addKeyValue("usual-ratio", hundredths(news.usualRatio())).log("callers dial again, a second");
+    private void stormChanged(StormNews change) {
+        metrics.count(change.began() ? "storms.began" : "storms.ended");
+        LOG.atInfo().addKeyValue("reason", change.began() ? "STORM_BEGAN" : "STORM_ENDED")
+                .addKeyValue("scope", change.scope()).addKeyValue("number", change.number())
+                .addKeyValue("redials", hundredths(change.redialsPerSecond()))
+                .addKeyValue("first-tries", hundredths(change.firstTriesPerSecond()))
+                .addKeyValue("usual-ratio", hundredths(change.usualRatio()))
+                .log("redial storm began or ended, rates per second");
     }
 
     private static double hundredths(double value) {
--- a/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
+++ b/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
@@ -24,7 +24,8 @@
     static Stream<Arguments> plants() {
         return Stream.of(
                 Arguments.of(new PlantedBuild("answers are dropped after SIGTERM", "core/Planner.java",
-                        "saying.run();", "if (lastAnswer == Long.MAX_VALUE) {\n            saying.run();\n        }"),
+                        "notification.run();",
+                        "if (answerDeadline == Long.MAX_VALUE) {\n            notification.run();\n        }"),
                         Set.of(FaultKind.RESTART), Rule.ONE_ANSWER),
                 Arguments.of(new PlantedBuild("who drains counts as ready", "directory/Roster.java",
                         "srv.priority() == 0 ? Readiness.READY : Readiness.DRAINING", "Readiness.READY"),
@@ -33,7 +34,7 @@
                         "if (byId.containsKey(request.id())) {", "if (request.id().isEmpty()) {"),
                         Set.of(FaultKind.REPEATED_ID), Rule.ONE_ATTEMPT),
                 Arguments.of(new PlantedBuild("nobody watches silent exchanges", "core/StandingWatch.java",
-                        "if (!exchanges.mayFallSilent()) {", "if (ending || !ending) {"),
+                        "if (!exchanges.mayFallSilent()) {", "if (shuttingDown || !shuttingDown) {"),
                         Set.of(FaultKind.VANISH), Rule.RELEASE_TOLD),
                 Arguments.of(new PlantedBuild("the first piece of a message is lost", "net/MessageHandler.java",
                         "awaitRest(ctx);\n                    return;", "from = to;\n                    return;"),
