--- a/src/main/java/wingspread/core/CallLog.java
+++ b/src/main/java/wingspread/core/CallLog.java
@@ -26,7 +26,7 @@
         STORM,
         /** The deadline passed without an answer from the call control. */
         DEADLINE,
-        /** The process is shutting down and ends before the deadline of the call. */
+        /** The process is shutting down: it refuses new calls, and fails open ones that it cannot wait for. */
         PLANNED_END,
         /** The caller cancelled the set-up or closed the connection. */
         CALLER_GAVE_UP
--- a/src/main/java/wingspread/core/PlannedEnd.java
+++ b/src/main/java/wingspread/core/PlannedEnd.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns the time by which the process must exit, whatever is still unsent. */
-    public long lastExit() {
+    public long exitDeadline() {
         return killAt - EXIT_MARGIN_MICROS;
     }
 
@@ -95,7 +95,7 @@
             closedAt = now;
             return Step.STOP_LISTENING;
         }
-        if (now >= lastExit()) {
+        if (now >= exitDeadline()) {
             return handedOver ? Step.LEAVE : handOver();
         }
         boolean requestsArrived = now >= closedAt + REQUEST_ARRIVAL_MICROS;
--- a/src/main/java/wingspread/core/Planner.java
+++ b/src/main/java/wingspread/core/Planner.java
@@ -75,7 +75,7 @@
     private final Map<Long, Long> startTimes = new HashMap<>();
     /** Ids of the calls that ended most recently, oldest first. */
     private final Set<String> endedCallIds = new LinkedHashSet<>();
-    private long nextCall = 1;
+    private long nextCallNumber = 1;
     private long descriptionBytes;
     /** Latest time of any answer; {@link Long#MAX_VALUE} until a shutdown is planned. */
     private long answerDeadline = Long.MAX_VALUE;
@@ -234,7 +234,7 @@
         }
     }
 
-    /** Notes that an exchange is alive if the event is due to a message from it. */
+    /** Records the sign of life if the event results from a message of an exchange. */
     private void recordSignOfLife(long now, Event event) {
         if (event instanceof Event.Heard e) {
             exchangeMonitor.recordMessage(now, e.exchange());
@@ -274,7 +274,7 @@
             caller.refused(settings.maxRetryAfter());
             return;
         }
-        CallState state = new CallState(request, caller, nextCall++);
+        CallState state = new CallState(request, caller, nextCallNumber++);
         if (stormGate != null && !request.transit()) {
             Optional<Try> admitted = stormGate.admit(now, request, parseNumber(request.number()), caller);
             if (admitted.isEmpty()) {
@@ -306,12 +306,12 @@
      */
     private void answerOverdue(CallState state) {
         if (!state.answered) {
-            boolean early = state.request.deadline() > answerDeadline;
+            boolean shutdown = state.request.deadline() > answerDeadline;
             LOG.warn("call {} reached {} without an answer", state.request.id(),
-                    early ? "the shutdown deadline" : "its deadline");
+                    shutdown ? "the shutdown deadline" : "its deadline");
             control.onDropped(clock.getAsLong(), state.callNumber);
             recordFailedOffer(state);
-            log.answered(state.request.id(), "failed", early ? AnswerReason.PLANNED_END : AnswerReason.DEADLINE,
+            log.answered(state.request.id(), "failed", shutdown ? AnswerReason.PLANNED_END : AnswerReason.DEADLINE,
                     state.attempts.size());
             answer(state, "failed", state.caller::failed);
         }
--- a/src/test/java/wingspread/core/PlannedEndTest.java
+++ b/src/test/java/wingspread/core/PlannedEndTest.java
@@ -9,78 +9,82 @@
 import wingspread.core.PlannedEnd.Step;
 
 class PlannedEndTest {
-    private static final long MS = 1_000;
-    private static final long TERM = 1_000_000_000;
+    private static final long MICROS_PER_MS = 1_000;
+    private static final long SIGTERM_AT = 1_000_000_000;
 
-    private static PlannedEnd end(long longestDeadline) {
-        return new PlannedEnd(TERM, longestDeadline * MS);
+    private static PlannedEnd withMaxDeadline(long deadlineMs) {
+        return new PlannedEnd(SIGTERM_AT, deadlineMs * MICROS_PER_MS);
     }
 
     /**
-     * Looks every 20 ms until the program leaves, in milliseconds after SIGTERM; calls stand until a time, and callers
-     * hold a connection until another. Each change of step is noted with its time.
+     * Queries the next step every 20 ms until the process exits, and returns each change of step with its time. Times
+     * are milliseconds after SIGTERM; one call is established until the first one, and one caller connection is open
+     * until the second one.
      */
-    private static List<String> play(PlannedEnd end, long standingUntil, long connectedUntil) {
-        return play(end, 0, standingUntil, connectedUntil);
+    private static List<String> runShutdown(PlannedEnd shutdown, long establishedUntil, long connectedUntil) {
+        return runShutdown(shutdown, 0, establishedUntil, connectedUntil);
     }
 
-    private static List<String> play(PlannedEnd end, long unansweredUntil, long standingUntil, long connectedUntil) {
-        List<String> out = new ArrayList<>();
-        Step before = Step.SERVE;
-        for (long at = 0; before != Step.LEAVE; at += 20) {
-            Step step = end.next(TERM + at * MS, at < unansweredUntil ? 1 : 0, at < standingUntil ? 1 : 0,
-                    at < connectedUntil ? 1 : 0);
-            if (step != before) {
-                out.add(step + " " + at);
+    private static List<String> runShutdown(PlannedEnd shutdown, long unansweredUntil, long establishedUntil,
+            long connectedUntil) {
+        List<String> steps = new ArrayList<>();
+        Step previous = Step.SERVE;
+        for (long atMs = 0; previous != Step.LEAVE; atMs += 20) {
+            Step step = shutdown.next(SIGTERM_AT + atMs * MICROS_PER_MS, atMs < unansweredUntil ? 1 : 0,
+                    atMs < establishedUntil ? 1 : 0, atMs < connectedUntil ? 1 : 0);
+            if (step != previous) {
+                steps.add(step + " " + atMs);
             }
-            before = step;
+            previous = step;
         }
-        return out;
+        return steps;
     }
 
     @Test
-    void connectionsAndTheirRequestsAreTakenForAsLongAsThePlatformSendsThem() {
-        assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "HAND_OVER 700", "LEAVE 720"), play(end(9_000), 0, 0));
+    void servesConnectionsAndRequestsForAsLongAsTheyMayArrive() {
+        assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "HAND_OVER 700", "LEAVE 720"),
+                runShutdown(withMaxDeadline(9_000), 0, 0));
     }
 
     @Test
-    void whileCallersHoldConnectionsTheyAreServedAndNobodyLeaves() {
+    void exitsOnlyAfterCallersHaveClosedTheirConnections() {
         assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "HAND_OVER 700", "CLOSE_IDLE 720", "LEAVE 2500"),
-                play(end(9_000), 0, 2_500));
+                runShutdown(withMaxDeadline(9_000), 0, 2_500));
     }
 
-    /** A caller over UDP holds no connection and is owed its answer all the same. */
+    /** A caller over UDP holds no connection but still waits for its answer. */
     @Test
-    void withoutAConnectionAnswersAreOwedToo() {
+    void waitsForUnansweredCallsOfCallersWithoutConnection() {
         assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "HAND_OVER 2000", "LEAVE 2020"),
-                play(end(9_000), 2_000, 0, 0));
+                runShutdown(withMaxDeadline(9_000), 2_000, 0, 0));
     }
 
     @Test
-    void whatStandsRunsOnForAWhile() {
+    void keepsServingEstablishedCallsForTheGracePeriod() {
         assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "CLOSE_UNUSED 700", "HAND_OVER 1700",
-                "CLOSE_IDLE 1720", "LEAVE 2000"), play(end(9_000), 10_000, 2_000));
+                "CLOSE_IDLE 1720", "LEAVE 2000"), runShutdown(withMaxDeadline(9_000), 10_000, 2_000));
     }
 
-    /** With short deadlines SIGKILL comes soon, and every wait is cut to what is left. */
+    /** With short call deadlines SIGKILL comes early, and every wait is limited to the time left. */
     @Test
-    void withShortDeadlinesEachStepComesSooner() {
+    void shortensEachStepForShortDeadlines() {
         assertEquals(List.of("STOP_LISTENING 300", "SERVE 320", "HAND_OVER 500", "CLOSE_IDLE 520", "LEAVE 700"),
-                play(end(100), 10_000, 10_000));
+                runShutdown(withMaxDeadline(100), 10_000, 10_000));
         assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "HAND_OVER 700", "CLOSE_IDLE 720", "LEAVE 900"),
-                play(end(300), 10_000, 10_000));
+                runShutdown(withMaxDeadline(300), 10_000, 10_000));
         assertEquals(List.of("STOP_LISTENING 500", "SERVE 520", "CLOSE_UNUSED 700", "HAND_OVER 1200",
-                "CLOSE_IDLE 1220", "LEAVE 1600"), play(end(1_000), 10_000, 10_000));
+                "CLOSE_IDLE 1220", "LEAVE 1600"), runShutdown(withMaxDeadline(1_000), 10_000, 10_000));
     }
 
     @Test
-    void allIsAnsweredAndLeftBeforeSigkillWhateverTheDeadlines() {
+    void answersAllCallsAndExitsBeforeSigkillForAnyDeadline() {
         for (long deadline : new long[] {100, 300, 400, 1_000, 1_500, 3_000, 4_630, 9_000}) {
-            long kill = Math.min(3_000, deadline) + 700;
-            PlannedEnd end = end(deadline);
-            assertTrue(end.lastAnswer() < TERM + (kill - 200) * MS, () -> "deadline " + deadline);
-            List<String> steps = play(end, 10_000, 10_000);
-            assertEquals("LEAVE " + (kill - 100), steps.get(steps.size() - 1));
+            long killMs = Math.min(3_000, deadline) + 700;
+            PlannedEnd shutdown = withMaxDeadline(deadline);
+            assertTrue(shutdown.lastAnswer() < SIGTERM_AT + (killMs - 200) * MICROS_PER_MS,
+                    () -> "deadline " + deadline);
+            List<String> steps = runShutdown(shutdown, 10_000, 10_000);
+            assertEquals("LEAVE " + (killMs - 100), steps.get(steps.size() - 1));
         }
     }
 }
--- a/src/test/java/wingspread/core/PlannerTest.java
+++ b/src/test/java/wingspread/core/PlannerTest.java
@@ -24,38 +24,38 @@
 import wingspread.metrics.Metrics;
 import wingspread.storm.StormFigures;
 
-/** A planner between a recording caller and a recording exchange, on a clock that the test moves. */
+/** Tests the planner between a recording caller and a recording exchange, on a manual clock. */
 class PlannerTest {
-    private static final long AIM = 1_500_000;
-    private static final long LEFT = 3_000_000;
+    private static final long TARGET_MICROS = 1_500_000;
+    private static final long TIME_LEFT_MICROS = 3_000_000;
     private static final byte[] DESCRIPTION = {'v', '=', '0', '\r', '\n', (byte) 0xe9};
 
-    private final List<String> said = new ArrayList<>();
+    private final List<String> recorded = new ArrayList<>();
     private final List<Long> checks = new ArrayList<>();
     private long lastWait;
     private long now = 1_000_000_000;
     private Planner planner;
-    private boolean outlives = true;
+    private boolean nextProcessCanNotify = true;
 
-    private final class Wire implements Exchanges, Caller, Caller.Strangers {
+    private final class RecordingEndpoint implements Exchanges, Caller, Caller.Strangers {
         @Override
         public void invite(Attempt attempt) {
-            said.add("invite " + attempt.request().id() + " " + attempt.exchange());
+            recorded.add("invite " + attempt.request().id() + " " + attempt.exchange());
         }
 
         @Override
         public void withdraw(Attempt attempt) {
-            said.add("withdraw " + attempt.request().id());
+            recorded.add("cancel " + attempt.request().id());
         }
 
         @Override
         public void release(long exchange, String call, int cause) {
-            said.add("release " + call + " " + cause);
+            recorded.add("release " + call + " " + cause);
         }
 
         @Override
         public void closeIdle(long exchange) {
-            said.add("close " + exchange);
+            recorded.add("close idle " + exchange);
         }
 
         @Override
@@ -66,56 +66,56 @@
 
         @Override
         public void stands(byte[] description) {
-            said.add("stands " + description.length);
+            recorded.add("established " + description.length);
         }
 
         @Override
         public void givenUp() {
-            said.add("given up");
+            recorded.add("abandoned");
         }
 
         @Override
         public void refused(long wait) {
             lastWait = wait;
-            said.add("refused");
+            recorded.add("refused");
         }
 
         @Override
         public void failed() {
-            said.add("failed");
+            recorded.add("failed");
         }
 
         @Override
         public boolean outlivesRestart() {
-            return outlives;
+            return nextProcessCanNotify;
         }
 
         @Override
         public void over(String call, int cause) {
-            said.add("over " + call + " " + cause);
+            recorded.add("unknown call ended " + call + " " + cause);
         }
 
         @Override
         public void over(int cause) {
-            said.add("over " + cause);
+            recorded.add("ended " + cause);
         }
     }
 
-    private final Wire wire = new Wire();
+    private final RecordingEndpoint endpoint = new RecordingEndpoint();
     private Settings settings;
 
     @BeforeEach
-    void twoExchanges() {
-        CallClass plain = new CallClass("plain", AIM, 9_000_000, 1, 0.1, 1, 10_000_000, Effect.SAFE,
+    void createPlannerWithTwoExchanges() {
+        CallClass plain = new CallClass("plain", TARGET_MICROS, 9_000_000, 1, 0.1, 1, 10_000_000, Effect.SAFE,
                 RepeatGroup.ALL, 0, List.of());
         settings = new Settings(Layout.NETWORK, 0, 0, 0, 3, List.of(plain), false, Reports.PIGGYBACK,
                 false, false, true, false, false, true, 2_000_000, 6, 200_000, 0,
                 new Obligations(20_000, 500_000, 0, 0.3, 14_000_000, 2, 1_000_000));
-        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 3, wire, wire, new Metrics());
+        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 3, endpoint, endpoint, new Metrics());
         planner.post(new Event.Listed(ListKind.CACHED, List.of(exchange(1, Readiness.READY, 0),
                 exchange(2, Readiness.READY, 0))));
-        planner.post(new Event.Reported(1, free(20)));
-        planner.post(new Event.Reported(2, free(20)));
+        planner.post(new Event.Reported(1, reportWithFree(20)));
+        planner.post(new Event.Reported(2, reportWithFree(20)));
         planner.turn();
     }
 
@@ -123,314 +123,314 @@
         return new Exchange(place, 0, 0, place, readiness, 1, upSince);
     }
 
-    private static Report free(double circuits) {
+    private static Report reportWithFree(double circuits) {
         return new Report(circuits, 20, Double.NaN, 0, Double.NaN, Double.NaN, 100, Double.NaN);
     }
 
-    private void play(Event event) {
+    private void process(Event event) {
         planner.post(event);
         planner.turn();
     }
 
     private void offer(String id) {
-        play(new Event.Offered(new Request(id, "plain", 0, "ab", DESCRIPTION, now + LEFT, 1, 1, -1, false, false,
-                false), wire));
+        process(new Event.Offered(new Request(id, "plain", 0, "ab", DESCRIPTION, now + TIME_LEFT_MICROS, 1, 1, -1,
+                false, false, false), endpoint));
     }
 
-    private void pass(long time) {
-        now += time;
+    private void advance(long micros) {
+        now += micros;
         planner.turn();
     }
 
-    private void heard(String... expected) {
-        assertEquals(List.of(expected), said);
-        said.clear();
+    private void assertRecorded(String... expected) {
+        assertEquals(List.of(expected), recorded);
+        recorded.clear();
     }
 
     private void offer(String id, boolean redial, boolean transit) {
-        play(new Event.Offered(new Request(id, "plain", 0, "ab" + id, DESCRIPTION, now + LEFT, 1, 1, 2, redial, transit,
-                false), wire));
+        process(new Event.Offered(new Request(id, "plain", 0, "ab" + id, DESCRIPTION, now + TIME_LEFT_MICROS, 1,
+                1, 2, redial, transit, false), endpoint));
     }
 
     @Test
-    void redialsInAStormAreRefusedAtOnceWithAWaitAndNobodyElseIs() {
+    void refusesOnlyRedialsDuringStormAndAdvisesAWait() {
         Metrics metrics = new Metrics();
-        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 1_000, wire, wire, metrics,
+        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 1_000, endpoint, endpoint, metrics,
                 StormFigures.USUAL);
         for (int i = 0; i < 200; i++) {
             now += 10_000;
             offer("redial" + i, true, false);
         }
-        long refused = metrics.value("answered.storm");
-        assertTrue(refused > 100, refused + " of 200");
-        said.clear();
+        long refusedCount = metrics.value("answered.storm");
+        assertTrue(refusedCount > 100, refusedCount + " of 200");
+        recorded.clear();
         offer("one more", true, false);
-        heard("refused");
+        assertRecorded("refused");
         assertTrue(lastWait > 0 && lastWait <= settings.maxRetryAfter(), "wait " + lastWait);
-        assertEquals(refused + 1, metrics.value("answered.storm"));
+        assertEquals(refusedCount + 1, metrics.value("answered.storm"));
         offer("first", false, false);
         offer("in transit", true, true);
-        assertEquals(refused + 1, metrics.value("answered.storm"));
-        // Those whose place in the line lies beyond what callers keep to are spread as well, not told all the same.
-        long most = settings.maxRetryAfter();
-        int late = 0;
+        assertEquals(refusedCount + 1, metrics.value("answered.storm"));
+        // Redials scheduled beyond the maximum wait are spread over it too and do not all get the same wait.
+        long maxWait = settings.maxRetryAfter();
+        int lateCount = 0;
         for (int i = 0; i < 200; i++) {
             offer("late" + i, true, false);
-            assertTrue(lastWait > 0 && lastWait <= most, "wait " + lastWait);
-            late += lastWait > most * 9 / 10 ? 1 : 0;
+            assertTrue(lastWait > 0 && lastWait <= maxWait, "wait " + lastWait);
+            lateCount += lastWait > maxWait * 9 / 10 ? 1 : 0;
         }
-        assertTrue(late < 40, late + " of 200 come in the last tenth of the wait");
+        assertTrue(lateCount < 40, lateCount + " of 200 redials fall in the last tenth of the maximum wait");
     }
 
     @Test
-    void aCallStandsAndEnds() {
+    void establishesCallAndNotifiesCallerOfItsEnd() {
         offer("a");
-        heard("invite a 1");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        heard("stands 6");
-        pass(LEFT);
-        heard();
-        play(new Event.Released(1, "a", 16, Report.NOTHING));
-        heard("over 16");
+        assertRecorded("invite a 1");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        assertRecorded("established 6");
+        advance(TIME_LEFT_MICROS);
+        assertRecorded();
+        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        assertRecorded("ended 16");
         assertEquals(0, planner.unanswered());
     }
 
     @Test
-    void anAnswerToASecondAttemptAtTheSameExchangeStands() {
+    void acceptsAnswerToSecondAttemptAtSameExchange() {
         offer("a");
-        play(new Event.Rejected(1, "a", Status.ERROR, Cause.NONE, Report.NOTHING));
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        heard("invite a 1", "invite a 1", "stands 6");
+        process(new Event.Rejected(1, "a", Status.ERROR, Cause.NONE, Report.NOTHING));
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        assertRecorded("invite a 1", "invite a 1", "established 6");
     }
 
     @Test
-    void anAnswerThatCrossesTheTimeOutIsReleased() {
+    void releasesCallAnsweredAfterTimeout() {
         offer("a");
-        pass(AIM);
-        heard("invite a 1", "withdraw a", "refused");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        heard("release a 16");
+        advance(TARGET_MICROS);
+        assertRecorded("invite a 1", "cancel a", "refused");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        assertRecorded("release a 16");
     }
 
     @Test
-    void aCallerThatGivesUpHearsThatOnceAndItsSetUpIsWithdrawn() {
+    void confirmsAbandonedCallOnceAndCancelsItsSetUp() {
         offer("a");
-        play(new Event.GivenUp("a", wire));
-        heard("invite a 1", "given up", "withdraw a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        heard("release a 16");
+        process(new Event.GivenUp("a", endpoint));
+        assertRecorded("invite a 1", "abandoned", "cancel a");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        assertRecorded("release a 16");
     }
 
     @Test
-    void setUpsGivenUpInTheTurnThatAsksForThemLeaveTheWindowsOpen() {
+    void keepsWindowsOpenWhenSetUpsAreAbandonedInTheirFirstTurn() {
         for (int i = 0; i < 20; i++) {
             String id = "w" + i;
-            planner.post(new Event.Offered(new Request(id, "plain", 0, "ab", DESCRIPTION, now + LEFT, 1, 1, -1,
-                    false, false, false), wire));
-            play(new Event.GivenUp(id, wire));
-            pass(1);
-            heard("given up");
+            planner.post(new Event.Offered(new Request(id, "plain", 0, "ab", DESCRIPTION, now + TIME_LEFT_MICROS, 1, 1,
+                    -1, false, false, false), endpoint));
+            process(new Event.GivenUp(id, endpoint));
+            advance(1);
+            assertRecorded("abandoned");
         }
         offer("a");
-        heard("invite a 1");
+        assertRecorded("invite a 1");
     }
 
     @Test
-    void aCallerUnderTheIdOfAnothersCallCannotEndIt() {
-        Wire other = new Wire();
+    void ignoresAbandonmentByAnotherCallerWithSameCallId() {
+        RecordingEndpoint other = new RecordingEndpoint();
         offer("a");
-        play(new Event.GivenUp("a", other));
-        heard("invite a 1");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        play(new Event.GivenUp("a", other));
-        heard("stands 6");
-        play(new Event.Released(1, "a", 16, Report.NOTHING));
-        heard("over 16");
+        process(new Event.GivenUp("a", other));
+        assertRecorded("invite a 1");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.GivenUp("a", other));
+        assertRecorded("established 6");
+        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        assertRecorded("ended 16");
     }
 
     @Test
-    void aReleaseOfACallSetUpBeforeTheRestartIsPassedOnOnce() {
-        play(new Event.Released(1, "before", 16, Report.NOTHING));
-        play(new Event.Released(1, "before", 16, Report.NOTHING));
-        heard("over before 16");
+    void passesOnReleaseOfCallFromBeforeRestartOnce() {
+        process(new Event.Released(1, "before", 16, Report.NOTHING));
+        process(new Event.Released(1, "before", 16, Report.NOTHING));
+        assertRecorded("unknown call ended before 16");
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        play(new Event.Released(1, "a", 16, Report.NOTHING));
-        play(new Event.Released(1, "a", 16, Report.NOTHING));
-        heard("invite a 1", "stands 6", "over 16");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        assertRecorded("invite a 1", "established 6", "ended 16");
     }
 
     @Test
-    void atTheEndACallStandsOnUnlessItsCallerCouldNotBeTold() {
+    void keepsCallAtHandOverUnlessNextProcessCannotNotifyItsCaller() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.Answered(1, "a", DESCRIPTION));
         planner.handOver();
-        heard("invite a 1", "stands 6");
-        outlives = false;
+        assertRecorded("invite a 1", "established 6");
+        nextProcessCanNotify = false;
         planner.handOver();
-        heard("release a 41", "over 41");
+        assertRecorded("release a 41", "ended 41");
     }
 
     private void offerInTransit(String id) {
-        play(new Event.Offered(new Request(id, "plain", 0, "ab" + id, DESCRIPTION, now + 3 * LEFT, 1, 1, 2, false, true,
-                false), wire));
+        process(new Event.Offered(new Request(id, "plain", 0, "ab" + id, DESCRIPTION, now + 3 * TIME_LEFT_MICROS, 1,
+                1, 2, false, true, false), endpoint));
     }
 
     @Test
-    void anEndThatIsPlannedAnswersEveryCallInTimeWhateverItsCallerLeaves() {
+    void answersEveryCallByTheShutdownDeadline() {
         offerInTransit("open");
-        heard("invite open 1");
-        planner.answerBy(now + LEFT);
-        pass(LEFT / 2);
+        assertRecorded("invite open 1");
+        planner.answerBy(now + TIME_LEFT_MICROS);
+        advance(TIME_LEFT_MICROS / 2);
         offerInTransit("late");
-        heard("invite late 1");
-        pass(LEFT / 2 - 1);
+        assertRecorded("invite late 1");
+        advance(TIME_LEFT_MICROS / 2 - 1);
         assertEquals(1, planner.unanswered());
-        said.clear();
-        pass(1);
-        heard("failed", "withdraw open");
+        recorded.clear();
+        advance(1);
+        assertRecorded("failed", "cancel open");
         assertEquals(0, planner.unanswered());
-        play(new Event.Answered(1, "open", DESCRIPTION));
-        heard("release open 16");
+        process(new Event.Answered(1, "open", DESCRIPTION));
+        assertRecorded("release open 16");
     }
 
     @Test
-    void aCallerThatReleasesAStandingCallReleasesTheExchange() {
+    void releasesExchangeOnceWhenCallerReleasesEstablishedCall() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        play(new Event.CallerEnded("a", 31));
-        heard("invite a 1", "stands 6", "release a 31");
-        play(new Event.CallerEnded("a", 31));
-        play(new Event.CallerEnded("unknown", 16));
-        heard();
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.CallerEnded("a", 31));
+        assertRecorded("invite a 1", "established 6", "release a 31");
+        process(new Event.CallerEnded("a", 31));
+        process(new Event.CallerEnded("unknown", 16));
+        assertRecorded();
     }
 
     @Test
-    void aRepeatedSetUpStartsNoSecondAttempt() {
+    void failsRepeatedSetUpWithoutSecondAttempt() {
         offer("a");
         offer("a");
-        heard("invite a 1", "failed");
+        assertRecorded("invite a 1", "failed");
     }
 
     @Test
-    void callsBeyondTheBoundAreRefusedAtOnce() {
+    void refusesCallsBeyondTheMaximum() {
         offer("a");
         offer("b");
-        said.clear();
+        recorded.clear();
         offer("c");
         offer("d");
-        assertEquals("refused", said.get(said.size() - 1));
+        assertEquals("refused", recorded.get(recorded.size() - 1));
     }
 
     @Test
-    void aProcessThatDiesCutsWhatStoodThroughIt() {
+    void cutsOnlyCallsThroughExchangeThatGoesDown() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        play(new Event.Died(2));
-        heard("invite a 1", "stands 6");
-        play(new Event.Died(1));
-        heard("over 41");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.Died(2));
+        assertRecorded("invite a 1", "established 6");
+        process(new Event.Died(1));
+        assertRecorded("ended 41");
     }
 
     @Test
-    void whileItDrainsNewSetUpsAreRefusedAndThoseThatAreOpenGoOn() {
+    void refusesNewCallsWhileDrainingAndContinuesOpenOnes() {
         offer("a");
         planner.refuseNew();
         offer("b");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        heard("invite a 1", "refused", "stands 6");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        assertRecorded("invite a 1", "refused", "established 6");
     }
 
-    private void passInSteps(long time) {
-        for (long until = now + time; now < until; ) {
-            pass(Math.min(until - now, Math.max(1, planner.nextDue() - now)));
+    private void advanceInSteps(long micros) {
+        for (long until = now + micros; now < until; ) {
+            advance(Math.min(until - now, Math.max(1, planner.nextDue() - now)));
         }
     }
 
     @Test
-    void aSilentExchangeIsConnectedToAfreshAndItsCallsAreOverBeforeTheRulesTime() {
+    void checksUnresponsiveExchangeAndEndsItsCallsWithinTheLimit() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        said.clear();
-        passInSteps(1_000_000);
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        recorded.clear();
+        advanceInSteps(1_000_000);
         assertEquals(List.of(), checks);
-        passInSteps(6_000_000);
+        advanceInSteps(6_000_000);
         assertTrue(checks.size() > 5, checks::toString);
-        heard();
-        passInSteps(1_000_000);
-        heard("release a 41", "over 41");
+        assertRecorded();
+        advanceInSteps(1_000_000);
+        assertRecorded("release a 41", "ended 41");
         int before = checks.size();
-        passInSteps(10_000_000);
+        advanceInSteps(10_000_000);
         assertEquals(before, checks.size());
     }
 
     @Test
-    void aSilentExchangeThatSpeaksOnAFreshConnectionKeepsItsCalls() {
+    void keepsCallsOfExchangeThatRespondsOnNewConnection() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        said.clear();
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        recorded.clear();
         for (int i = 0; i < 20; i++) {
-            passInSteps(3_000_000);
-            play(i % 2 == 0 ? new Event.Heard(1) : new Event.Reported(1, free(19), now));
+            advanceInSteps(3_000_000);
+            process(i % 2 == 0 ? new Event.Heard(1) : new Event.Reported(1, reportWithFree(19), now));
         }
-        heard();
+        assertRecorded();
         assertTrue(checks.stream().allMatch(exchange -> exchange == 1), checks::toString);
     }
 
     @Test
-    void anExchangeThatSpeaksAgainAndHoldsFewerCallsHasLostThem() {
+    void endsCallsThatReconnectedExchangeHasLost() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
+        process(new Event.Answered(1, "a", DESCRIPTION));
         offer("b");
-        play(new Event.Answered(1, "b", DESCRIPTION));
-        said.clear();
-        // Of two calls one has ended meanwhile; its release comes with the new connection.
-        pass(200_000);
-        play(new Event.Reported(1, free(19), now));
-        play(new Event.Released(1, "a", 16, Report.NOTHING));
-        passInSteps(600_000);
-        heard("over 16");
-        play(new Event.Reported(1, free(20)));
-        passInSteps(600_000);
-        heard();
-        // It was put together before the call stood.
-        play(new Event.Reported(1, free(20), now - 1_350_000));
-        passInSteps(600_000);
-        heard();
-        play(new Event.Reported(1, free(20), now));
-        passInSteps(600_000);
-        heard("release b 41", "over 41");
+        process(new Event.Answered(1, "b", DESCRIPTION));
+        recorded.clear();
+        // One of the two calls has ended in the meantime; its release follows on the new connection.
+        advance(200_000);
+        process(new Event.Reported(1, reportWithFree(19), now));
+        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        advanceInSteps(600_000);
+        assertRecorded("ended 16");
+        process(new Event.Reported(1, reportWithFree(20)));
+        advanceInSteps(600_000);
+        assertRecorded();
+        // This report was composed before the call was established.
+        process(new Event.Reported(1, reportWithFree(20), now - 1_350_000));
+        advanceInSteps(600_000);
+        assertRecorded();
+        process(new Event.Reported(1, reportWithFree(20), now));
+        advanceInSteps(600_000);
+        assertRecorded("release b 41", "ended 41");
     }
 
     @Test
-    void atTheEndCallsOnASilentExchangeAreOverForTheirCallers() {
+    void endsCallsOnUnresponsiveExchangeAtHandOver() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        said.clear();
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        recorded.clear();
         planner.answerBy(now + 3_000_000);
-        passInSteps(700_000);
+        advanceInSteps(700_000);
         assertTrue(!checks.isEmpty());
         planner.handOver();
-        heard("release a 41", "over 41");
+        assertRecorded("release a 41", "ended 41");
     }
 
     @Test
-    void aRestartCutsOnlyWhatWasSentBeforeIt() {
+    void cutsOnlyCallsSentBeforeExchangeRestart() {
         offer("a");
-        play(new Event.Answered(1, "a", DESCRIPTION));
-        said.clear();
-        play(new Event.Listed(ListKind.DELTA, List.of(exchange(1, Readiness.READY, now - 1))));
-        heard();
-        play(new Event.Listed(ListKind.DELTA, List.of(exchange(1, Readiness.READY, now + 1))));
-        heard("over 41");
+        process(new Event.Answered(1, "a", DESCRIPTION));
+        recorded.clear();
+        process(new Event.Listed(ListKind.DELTA, List.of(exchange(1, Readiness.READY, now - 1))));
+        assertRecorded();
+        process(new Event.Listed(ListKind.DELTA, List.of(exchange(1, Readiness.READY, now + 1))));
+        assertRecorded("ended 41");
     }
 
     @Test
-    void aLostConnectionEndsTheSetUpOnce() {
+    void ignoresRejectionOfTimedOutSetUp() {
         offer("a");
-        pass(LEFT);
-        said.clear();
-        play(new Event.Rejected(1, "a", Status.FULL, Cause.PROCESSOR_FULL, Report.NOTHING));
-        heard();
+        advance(TIME_LEFT_MICROS);
+        recorded.clear();
+        process(new Event.Rejected(1, "a", Status.FULL, Cause.PROCESSOR_FULL, Report.NOTHING));
+        assertRecorded();
     }
 }
