--- a/src/main/java/wingspread/core/CallLog.java
+++ b/src/main/java/wingspread/core/CallLog.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Logs an attempt that ended without establishing its call, which may be attempted again. */
+    /** Logs an attempt that ended without establishing its call; another attempt may follow. */
     void attemptEnded(Attempt attempt, long now, Status status, Cause cause) {
         if (LOG.isInfoEnabled()) {
             LOG.info("{} attempt={} ended exchange={} status={} cause={} after-ms={}", attempt.request().id(),
@@ -112,7 +112,7 @@
         LOG.info("{} unknown call, released by exchange={} cause={}", call, exchange, cause);
     }
 
-    /** Logs an exchange's answer for a call that is no longer waiting for one. */
+    /** Logs an exchange's answer to a set-up that is no longer pending. */
     void lateAnswer(String call, long exchange) {
         LOG.info("{} answered too late by exchange={}, releasing it", call, exchange);
     }
--- a/src/main/java/wingspread/core/Caller.java
+++ b/src/main/java/wingspread/core/Caller.java
@@ -2,7 +2,7 @@
 
 /**
  * The caller's side of one call, implemented by the protocol fronts. A call gets exactly one final answer:
- * established, refused, failed or abandoned. Only an established call is notified of anything after that: of its end.
+ * established, refused, failed or abandoned. After that, only the end of an established call is notified.
  */
 public interface Caller {
     /**
--- a/src/main/java/wingspread/core/Event.java
+++ b/src/main/java/wingspread/core/Event.java
@@ -7,7 +7,10 @@
 import wingspread.control.CallControl.Report;
 import wingspread.control.CallControl.Status;
 
-/** An event that a forwarder posts to a {@link Planner}. Causes are those of Q.850, exchanges are given by address. */
+/**
+ * An event that a forwarder posts to a {@link Planner}. Calls are identified by id and exchanges by address; numeric
+ * causes are those of Q.850.
+ */
 public sealed interface Event {
     /** A caller has requested a call. */
     record Offered(Request request, Caller caller) implements Event { }
@@ -41,7 +44,7 @@
      *     {@link #UNSOLICITED} if the exchange reports a change
      */
     record Reported(long exchange, Report report, long openedAt) implements Event {
-        /** Value of {@code openedAt} for a report that is not the first message on a connection. */
+        /** Value of {@link #openedAt} for a report that is not the first message on a connection. */
         public static final long UNSOLICITED = Long.MIN_VALUE;
 
         /** Creates the report of a change of the free circuits. */
--- a/src/main/java/wingspread/core/Planner.java
+++ b/src/main/java/wingspread/core/Planner.java
@@ -100,9 +100,10 @@
      * @param stormParameters parameters of the storm gate, which may refuse redials; null for none
      */
     public Planner(LongSupplier clock, Settings settings, Figures parameters, long seed, int maxCalls,
-            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics, StormFigures stormParameters) {
-        this.stormGate = stormParameters == null ? null : new StormDesk(clock, settings, stormParameters, seed, metrics,
-                deadlines);
+            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics,
+            StormFigures stormParameters) {
+        this.stormGate = stormParameters == null ? null
+                : new StormDesk(clock, settings, stormParameters, seed, metrics, deadlines);
         this.clock = clock;
         this.settings = settings;
         this.exchanges = exchanges;
@@ -398,8 +399,8 @@
         }
         Attempt attempt = findAttempt(event.exchange(), event.call());
         if (attempt != null && attempt.isEstablished()) {
-            endEstablishedCall(now, state, event.cause() == NORMAL ? Status.OK : Status.RESET, event.report(),
-                    event.cause(), EndReason.EXCHANGE_RELEASED);
+            endEstablishedCall(now, state, event.cause() == NORMAL ? Status.OK : Status.RESET,
+                    event.report(), event.cause(), EndReason.EXCHANGE_RELEASED);
         } else if (attempt != null && attempt.out()) {
             endAttempt(now, attempt, Status.RESET, Cause.NONE, event.report());
         }
--- a/src/main/java/wingspread/core/StandingWatch.java
+++ b/src/main/java/wingspread/core/StandingWatch.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Notes a message from an exchange. */
+    /** Records that a message from an exchange has been received. */
     void recordMessage(long now, long exchange) {
         MonitoredExchange entry = monitoredExchanges.get(exchange);
         if (entry != null) {
