--- a/src/main/java/wingspread/Main.java
+++ b/src/main/java/wingspread/Main.java
@@ -51,7 +51,7 @@
 
     private static int serve() {
         try {
-            Signals.keep("HUP", "TERM", "INT");
+            Signals.installHandlers("HUP", "TERM", "INT");
             new Softswitch(System.getenv(), SipConfig.read(SIP_FILE),
                     Switch.mayBeOn(RECORD_FILE) ? RecordConfig.read(RECORD_FILE) : null,
                     StormConfig.read(STORM_FILE)).start();
--- a/src/main/java/wingspread/SipService.java
+++ b/src/main/java/wingspread/SipService.java
@@ -29,7 +29,7 @@
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
 import wingspread.sip.Timers;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /** The SIP front with its timers, sockets and certificate, where the operators have turned it on. */
 final class SipService {
@@ -41,14 +41,14 @@
     /** Secures new connections; those that are open keep what they began with. Confined to the loop. */
     private SslContext security;
 
-    SipService(Loop loop, SipConfig config, List<CallClass> classes, long seed, ReconnectFigures reconnects,
+    SipService(Loop loop, SipConfig config, List<CallClass> classes, long seed, ReconnectParameters reconnects,
             Consumer<Event> planner, Metrics metrics) {
         this.loop = loop;
         this.config = config;
         Timers timers = new Timers(loop::now);
         SipFront front = new SipFront(timers, config, classes, seed, planner, metrics);
         this.listener = new SipListener(loop, front, reconnects, metrics);
-        loop.serve(timers);
+        loop.addWorker(timers);
     }
 
     /** Starts to listen; for TLS once there is a certificate. */
--- a/src/main/java/wingspread/Softswitch.java
+++ b/src/main/java/wingspread/Softswitch.java
@@ -16,22 +16,22 @@
 import wingspread.control.CallControl.CallClass;
 import wingspread.control.CallControl.ListKind;
 import wingspread.control.CallControl.Settings;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.core.Event;
-import wingspread.core.PlannedEnd;
+import wingspread.core.GracefulShutdown;
 import wingspread.core.Planner;
 import wingspread.directory.Directory;
-import wingspread.directory.Listing;
+import wingspread.directory.DirectoryEntry;
 import wingspread.front.jsonl.JsonlFront;
 import wingspread.link.Links;
-import wingspread.net.Descriptors;
+import wingspread.net.FileDescriptorBudget;
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
 import wingspread.net.Signals;
 import wingspread.net.UnixClock;
 import wingspread.record.RecordConfig;
 import wingspread.record.Recorder;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /** One real softswitch: a planner, the forwarders round it, its start and its end. */
 final class Softswitch {
@@ -67,21 +67,22 @@
         this.config = NodeConfig.read(environment);
         this.startedAt = loop.now();
         SettingsParser.Parsed settings = config.settings();
-        ReconnectFigures reconnects = storm == null ? ReconnectFigures.OFF : storm.reconnects();
-        Descriptors descriptors = new Descriptors(config.sockets());
+        ReconnectParameters reconnects = storm == null ? ReconnectParameters.OFF : storm.reconnects();
+        FileDescriptorBudget descriptors = new FileDescriptorBudget(config.sockets());
         this.links = new Links(loop, settings.connectTimeout(), settings.settings().ownPlace(),
-                () -> descriptors.forExchanges(frontConnections()), reconnects,
+                () -> descriptors.exchangeLimit(frontConnections()), reconnects,
                 new SplittableRandom(config.seed() + 1), this::post, metrics);
-        this.planner = new Planner(loop::now, settings.settings(), Figures.USUAL, config.seed(), MOST_CALLS, links,
+        this.planner = new Planner(loop::now, settings.settings(),
+                ControlParameters.DEFAULTS, config.seed(), MOST_CALLS, links,
                 this::strangerOver, metrics, storm == null ? null : storm.storm());
         this.directory = new Directory(loop, settings.zones(), settings.kinds(), config.seed(), this::told);
         this.front = new JsonlFront(loop, settings.settings().classes(),
-                () -> descriptors.forCallers(links.open()), this::post, this::ready, reconnects, metrics);
+                () -> descriptors.callerLimit(links.openCount()), this::post, this::ready, reconnects, metrics);
         this.sip = Optional.ofNullable(sipConfig).map(c -> new SipService(loop, c, settings.settings().classes(),
                 config.seed(), reconnects, this::post, metrics));
         this.recorder = record == null ? null : record.start(startedAt, settings.settings().ownPlace(),
                 settings.settings().softswitches(), classNames(settings.settings()));
-        loop.serve(planner);
+        loop.addWorker(planner);
     }
 
     private static List<String> classNames(Settings settings) {
@@ -98,9 +99,9 @@
         loop.execute(() -> {
             listening = true;
             sip.ifPresent(SipService::listen);
-            directory.known(config.known());
+            directory.loadCached(config.known());
             if (config.names() != null) {
-                directory.follow(config.names());
+                directory.setServer(config.names());
             }
             front.listen(config.listen()).addListener((ChannelFuture f) -> {
                 if (!f.isSuccess()) {
@@ -117,7 +118,7 @@
         try {
             InetSocketAddress names = NodeConfig.read(environment).names();
             if (names != null) {
-                loop.execute(() -> directory.follow(names));
+                loop.execute(() -> directory.setServer(names));
             }
         } catch (ConfigException e) {
             // Guards against a file that is half written or wrong: what was read before stays in force.
@@ -137,17 +138,17 @@
     }
 
     private void strangerOver(String call, int cause) {
-        front.over(call, cause);
+        front.onEnded(call, cause);
     }
 
-    private void told(ListKind kind, List<Listing> listings) {
-        planner.post(new Event.Listed(kind, listings.stream().map(Listing::exchange).toList()));
+    private void told(ListKind kind, List<DirectoryEntry> listings) {
+        planner.post(new Event.Listed(kind, listings.stream().map(DirectoryEntry::exchange).toList()));
         links.update(listings);
-        loop.wantTurn();
+        loop.requestTurn();
     }
 
     private boolean ready() {
-        return !ending && (links.settled() || loop.now() - startedAt > READY_AT_LATEST);
+        return !ending && (links.allStarted() || loop.now() - startedAt > READY_AT_LATEST);
     }
 
     /** Finishes what was taken, hands over what stands, and ends. */
@@ -160,21 +161,21 @@
             LOG.info("ending: nothing was taken yet");
             System.exit(0);
         }
-        PlannedEnd plan = new PlannedEnd(loop.now(),
+        GracefulShutdown plan = new GracefulShutdown(loop.now(),
                 config.settings().settings().classes().stream().mapToLong(CallClass::deadline).max().orElse(0));
-        LOG.info("ending: {} calls are unanswered", planner.unanswered());
-        planner.answerBy(plan.lastAnswer());
-        loop.wantTurn();
+        LOG.info("ending: {} calls are unanswered", planner.unansweredCalls());
+        planner.setAnswerDeadline(plan.answerDeadline());
+        loop.requestTurn();
         lookAgain(plan);
     }
 
-    private void lookAgain(PlannedEnd plan) {
+    private void lookAgain(GracefulShutdown plan) {
         loop.at(loop.now() + LOOK_EVERY, () -> {
-            switch (plan.next(loop.now(), planner.unanswered(), planner.standing(front.connections() > 0),
+            switch (plan.next(loop.now(), planner.unansweredCalls(), planner.establishedCalls(front.connections() > 0),
                     front.connections())) {
                 case LEAVE -> leave();
                 case HAND_OVER -> {
-                    planner.refuseNew();
+                    planner.refuseNewCalls();
                     planner.handOver();
                     loop.flush();
                     links.close();
@@ -185,12 +186,12 @@
                     lookAgain(plan);
                 }
                 case CLOSE_UNUSED -> {
-                    planner.refuseNew();
+                    planner.refuseNewCalls();
                     front.closeUnused();
                     lookAgain(plan);
                 }
                 case CLOSE_IDLE -> {
-                    planner.refuseNew();
+                    planner.refuseNewCalls();
                     front.closeIdle();
                     lookAgain(plan);
                 }
--- a/src/main/java/wingspread/cli/LabCalibrate.java
+++ b/src/main/java/wingspread/cli/LabCalibrate.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.Experiment;
 import wingspread.lab.compare.Calibration;
 import wingspread.lab.compare.Comparer;
@@ -52,7 +52,7 @@
         int declared = 0;
         long pairs = 0;
         try (Experiment experiment = new Experiment(options.scenario(), options.seed(), options.threads());
-                SoftswitchPool pool = SoftswitchPool.local(PlannerController.with(Figures.USUAL))) {
+                SoftswitchPool pool = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS))) {
             Comparer comparer = new Comparer(experiment,
                     CompareOptions.sampling(spec.commandLine(), pilot, budget, width), () -> { });
             for (int i = 0; i < comparisons; i++) {
--- a/src/main/java/wingspread/cli/LabList.java
+++ b/src/main/java/wingspread/cli/LabList.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import wingspread.control.Figures;
-import wingspread.control.NamedFigures.Figure;
-import wingspread.control.NamedFigures.Unit;
+import wingspread.control.ControlParameters;
+import wingspread.control.NamedParameters.Parameter;
+import wingspread.control.NamedParameters.Unit;
 import wingspread.lab.scenario.Scenario;
 
 /** Says what can be named: the shipped scenarios, what one of them sets, the module's figures. */
@@ -39,8 +39,9 @@
             out.print(Scenario.shippedText(scenario));
         } else if (figures) {
             out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", "figure", "usual", "least", "most");
-            Figures.USUAL.all().forEach(figure -> out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", figure.name(),
-                    value(figure, figure.usual()), value(figure, figure.least()), value(figure, figure.most())));
+            ControlParameters.DEFAULTS.all().forEach(
+                    figure -> out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", figure.name(),
+                    value(figure, figure.defaultValue()), value(figure, figure.min()), value(figure, figure.max())));
         } else {
             Scenario.SHIPPED.forEach(name -> out.printf("%-18s %s%n", name, Scenario.named(name).about()));
         }
@@ -48,7 +49,7 @@
     }
 
     /** As it is written in a setting: times with their unit. */
-    private static String value(Figure figure, double value) {
+    private static String value(Parameter figure, double value) {
         return figure.unit() == Unit.MICROSECONDS ? String.format(Locale.ROOT, "%sms", number(value / MILLI))
                 : number(value);
     }
--- a/src/main/java/wingspread/cli/LabOutage.java
+++ b/src/main/java/wingspread/cli/LabOutage.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import wingspread.config.StormConfig;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.Experiment;
 import wingspread.lab.compare.Interval;
 import wingspread.lab.compare.Outage;
@@ -67,8 +67,8 @@
         Progress progress = Progress.on(spec.commandLine().getErr());
         try (Experiment struck = new Experiment(scenario, options.seed(), options.threads());
                 Experiment calm = new Experiment(scenario.with("trouble = []"), options.seed(), 1);
-                SoftswitchPool plain = SoftswitchPool.local(PlannerController.with(Figures.USUAL));
-                SoftswitchPool damped = SoftswitchPool.local(PlannerController.with(Figures.USUAL,
+                SoftswitchPool plain = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS));
+                SoftswitchPool damped = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS,
                         StormConfig.named(storm).storm(), () -> {
                             Metrics one = new Metrics();
                             counters.add(one);
--- a/src/main/java/wingspread/cli/LabRecord.java
+++ b/src/main/java/wingspread/cli/LabRecord.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.host.LocalSoftswitches;
 import wingspread.lab.host.PlannerController;
 import wingspread.lab.scenario.Day;
@@ -70,7 +70,8 @@
         Streams streams = new Streams(options.seed(), 0);
         Day day = scenario.day(streams);
         List<RecordedTraffic.Call> calls = new ArrayList<>();
-        new Model(day, streams, streams, new LocalSoftswitches(PlannerController.with(Figures.USUAL)), calls::add)
+        new Model(day, streams, streams,
+                new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS)), calls::add)
                 .play();
         Files.createDirectories(out);
         for (int place = 0; place < day.fleet().exchanges(); place++) {
--- a/src/main/java/wingspread/cli/LabRun.java
+++ b/src/main/java/wingspread/cli/LabRun.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.Experiment;
 import wingspread.lab.host.PlannerController;
 import wingspread.lab.host.SoftswitchPool;
@@ -41,7 +41,7 @@
         PrintWriter out = spec.commandLine().getOut();
         long before = System.nanoTime();
         try (Experiment experiment = new Experiment(scenario, options.seed(), options.threads());
-                SoftswitchPool pool = SoftswitchPool.local(PlannerController.with(Figures.USUAL))) {
+                SoftswitchPool pool = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS))) {
             int days = options.atLeastOne("--replications", replications);
             Progress progress = Progress.on(spec.commandLine().getErr());
             List<Model.Run> runs = experiment.each(0, days, n -> {
--- a/src/main/java/wingspread/config/NodeConfig.java
+++ b/src/main/java/wingspread/config/NodeConfig.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import wingspread.json.Json;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /** What the platform tells a softswitch at its start. */
 public record NodeConfig(
@@ -28,7 +28,7 @@
             throw new ConfigException(file + " holds no JSON object");
         } catch (IOException e) {
             throw new ConfigException(file + " cannot be read: " + e.getMessage());
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             throw new ConfigException(file + ": " + e.getMessage());
         }
     }
--- a/src/main/java/wingspread/config/StormConfig.java
+++ b/src/main/java/wingspread/config/StormConfig.java
@@ -4,18 +4,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 import java.util.Locale;
-import wingspread.storm.ReconnectFigures;
-import wingspread.storm.StormFigures;
-import wingspread.storm.StormFigures.Damping;
-import wingspread.storm.StormFigures.Detection;
-import wingspread.storm.StormFigures.Method;
-import wingspread.storm.StormFigures.Returns;
+import wingspread.storm.ReconnectParameters;
+import wingspread.storm.StormParameters;
+import wingspread.storm.StormParameters.Damping;
+import wingspread.storm.StormParameters.Detection;
+import wingspread.storm.StormParameters.Method;
+import wingspread.storm.StormParameters.RetryPolicy;
 import wingspread.toml.Duration;
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
 /** What {@code deploy/storm.toml} says: the usual figures, but for those that it gives. */
-public record StormConfig(StormFigures storm, ReconnectFigures reconnects) {
+public record StormConfig(StormParameters storm, ReconnectParameters reconnects) {
     private static final String SCHEMA = "/wingspread/config/storm.schema.json";
 
     /**
@@ -62,48 +62,54 @@
 
     private static StormConfig from(ObjectNode tree, String name) {
         try {
-            return new StormConfig(new StormFigures(detection(tree.path("detection")), damping(tree.path("damping")),
-                    returns(tree.path("returns"))), reconnects(tree.path("reconnects")));
+            return new StormConfig(new StormParameters(detection(tree.path("detection")), damping(tree.path("damping")),
+                    retryPolicy(tree.path("returns"))), reconnects(tree.path("reconnects")));
         } catch (IllegalArgumentException e) {
             throw new TomlException(name + ": " + e.getMessage());
         }
     }
 
     private static Detection detection(JsonNode t) {
-        Detection usual = StormFigures.USUAL.detection();
-        return new Detection(time(t, "window", usual.window()), time(t, "usual-window", usual.usualWindow()),
+        Detection usual = StormParameters.DEFAULTS.detection();
+        return new Detection(time(t, "window", usual.windowMicros()),
+                time(t, "usual-window", usual.baselineWindowMicros()),
                 t.path("onset-ratio").asDouble(usual.onsetRatio()), t.path("end-ratio").asDouble(usual.endRatio()),
-                t.path("over-usual").asDouble(usual.overUsual()), t.path("most-usual").asDouble(usual.mostUsual()),
-                t.path("least-redials").asDouble(usual.leastRedials()), time(t, "end-after", usual.endAfter()));
+                t.path("over-usual").asDouble(usual.baselineFactor()),
+                t.path("most-usual").asDouble(usual.maxBaselineRatio()),
+                t.path("least-redials").asDouble(usual.minRedialsPerSecond()),
+                time(t, "end-after", usual.endAfterMicros()));
     }
 
     private static Damping damping(JsonNode t) {
-        Damping usual = StormFigures.USUAL.damping();
+        Damping usual = StormParameters.DEFAULTS.damping();
         Method method = t.has("method") ? Method.valueOf(t.path("method").asText().toUpperCase(Locale.ROOT))
                 : usual.method();
         return new Damping(method, t.path("budget-share").asDouble(usual.budgetShare()),
                 t.path("budget-floor").asDouble(usual.budgetFloor()),
-                t.path("budget-most").asDouble(usual.budgetMost()), time(t, "ramp", usual.ramp()),
+                t.path("budget-most").asDouble(usual.maxBudget()), time(t, "ramp", usual.rampMicros()),
                 t.path("ramp-share").asDouble(usual.rampShare()),
                 t.path("throttle-factor").asDouble(usual.throttleFactor()),
-                t.path("least-failing").asDouble(usual.leastFailing()));
+                t.path("least-failing").asDouble(usual.minFailureShare()));
     }
 
-    private static Returns returns(JsonNode t) {
-        Returns usual = StormFigures.USUAL.returns();
-        return new Returns(time(t, "longest-wait", usual.longestWait()),
+    private static RetryPolicy retryPolicy(JsonNode t) {
+        RetryPolicy usual = StormParameters.DEFAULTS.retryPolicy();
+        return new RetryPolicy(time(t, "longest-wait", usual.maxWaitMicros()),
                 t.path("spread-refusals").asBoolean(usual.spreadRefusals()),
-                time(t, "redial-time", usual.redialTime()), t.path("most-tries").asInt(usual.mostTries()),
-                time(t, "early", usual.early()), t.path("most-numbers").asInt(usual.mostNumbers()),
-                t.path("most-keys").asInt(usual.mostKeys()));
+                time(t, "redial-time", usual.redialWindowMicros()),
+                t.path("most-tries").asInt(usual.maxCallsPerNumber()),
+                time(t, "early", usual.earlyToleranceMicros()), t.path("most-numbers").asInt(usual.maxNumbers()),
+                t.path("most-keys").asInt(usual.maxDestinations()));
     }
 
-    private static ReconnectFigures reconnects(JsonNode t) {
-        ReconnectFigures usual = ReconnectFigures.USUAL;
-        return new ReconnectFigures(t.path("share").asDouble(usual.share()), time(t, "burst", usual.burst()),
+    private static ReconnectParameters reconnects(JsonNode t) {
+        ReconnectParameters usual = ReconnectParameters.DEFAULTS;
+        return new ReconnectParameters(t.path("share").asDouble(usual.loopShare()),
+                time(t, "burst", usual.burstMicros()),
                 t.path("surge-factor").asDouble(usual.surgeFactor()),
-                t.path("least-surge").asDouble(usual.leastSurge()),
-                time(t, "first-backoff", usual.firstBackoff()), time(t, "longest-backoff", usual.longestBackoff()),
+                t.path("least-surge").asDouble(usual.minSurgePerSecond()),
+                time(t, "first-backoff", usual.initialBackoffMicros()),
+                time(t, "longest-backoff", usual.maxBackoffMicros()),
                 t.path("jitter").asDouble(usual.jitter()));
     }
 
--- a/src/main/java/wingspread/control/CallControl.java
+++ b/src/main/java/wingspread/control/CallControl.java
@@ -27,7 +27,7 @@
      * @param exchange the address that the attempt was sent to
      * @param elapsed  the time from sending the set-up to its answer
      */
-    void onStood(long now, long call, int attempt, long exchange, long elapsed);
+    void onCallEstablished(long now, long call, int attempt, long exchange, long elapsed);
 
     /** Handles the result of an attempt; each attempt has exactly one. */
     void onOutcome(long now, Outcome outcome);
@@ -36,7 +36,7 @@
      * Handles a call that needs no final answer any longer, because the caller has abandoned it or the host
      * has answered it at its deadline.
      */
-    void onDropped(long now, long call);
+    void onCallDropped(long now, long call);
 
     /** Handles an update of the list of exchanges, or the failure to obtain it. */
     void onExchangeList(long now, ListKind kind, List<Exchange> entries);
@@ -48,7 +48,7 @@
      */
     void onReport(long now, long exchange, Status status, long elapsed, Report report);
 
-    /** Handles the expiry of a timer that was set through {@link Host#timer}. */
+    /** Handles the expiry of a timer that was set through {@link Host#setTimer}. */
     void onTimer(long now, long token);
 
     /** Handles a message from another softswitch. */
@@ -78,7 +78,7 @@
         void cancel(long call, int attempt);
 
         /** Schedules a call of {@link CallControl#onTimer} with the token. */
-        void timer(long at, long token);
+        void setTimer(long at, long token);
 
         /** Requests a health report from an exchange. */
         void probe(long exchange);
@@ -87,7 +87,7 @@
         void closeIdle(long exchange);
 
         /** Sends a message to one softswitch, or to all others with {@link #ALL_PEERS}. */
-        void tell(int peer, byte[] message);
+        void sendToPeer(int peer, byte[] message);
 
         /** Writes one line to the host's log. */
         void log(String line);
@@ -222,7 +222,7 @@
             double free, double circuits, double outstanding, double backlog, double utilization,
             double waitMs, double maxRate, double reduce) {
         /** A report without any value. */
-        public static final Report NOTHING = new Report(
+        public static final Report EMPTY = new Report(
                 Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN,
                 Double.NaN);
     }
--- a/src/main/java/wingspread/control/Figures.java
+++ b/src/main/java/wingspread/control/ControlParameters.java
@@ -6,9 +6,9 @@
  * The parameters of {@link WindowControl}. Each is declared with its name, its default, its minimum and its
  * maximum.
  */
-public final class Figures extends NamedFigures {
+public final class ControlParameters extends NamedParameters {
     /** The default parameters. */
-    public static final Figures USUAL = new Figures(Map.of());
+    public static final ControlParameters DEFAULTS = new ControlParameters(Map.of());
 
     // The window, after table IV of the paper of Noel and Johnson.
 
@@ -145,12 +145,12 @@
     /**
      * Creates the default parameters with some overridden.
      *
-     * @param given the overriding values by name; times in microseconds
+     * @param overrides the overriding values by name; times in microseconds
      * @throws IllegalArgumentException if a name is unknown or a value invalid, with one line that names the
      *         parameter and what was expected
      */
-    public Figures(Map<String, Double> given) {
-        super(given);
+    public ControlParameters(Map<String, Double> overrides) {
+        super(overrides);
         rejectUnknownNames();
         requireOrdered("window-min", "window-start");
         requireOrdered("window-start", "window-max");
--- a/src/main/java/wingspread/control/ExchangeLiveness.java
+++ b/src/main/java/wingspread/control/ExchangeLiveness.java
@@ -35,15 +35,15 @@
 
     /** What the host has to do next. */
     public enum Step {
-        /** Nothing until the time of {@link #due}. */
+        /** Nothing until the time of {@link #nextStepAt}. */
         WAIT,
-        /** Open a new connection, and report it by {@link #checked} or {@link #notChecked}. */
+        /** Open a new connection, and report it by {@link #checkStarted} or {@link #checkSkipped}. */
         CHECK,
         /** The exchange is down; its calls count as ended. */
         DOWN
     }
 
-    private long heardAt;
+    private long lastMessageAt;
     private long checkedAt;
     private long firstCheckAt;
     private int checkCount;
@@ -53,22 +53,22 @@
 
     /** Creates a detector for an exchange that has just sent a message. */
     public ExchangeLiveness(long now) {
-        heard(now);
+        messageReceived(now);
     }
 
     /** Records a message from the exchange, on any connection. */
-    public void heard(long now) {
-        heardAt = now;
+    public void messageReceived(long now) {
+        lastMessageAt = now;
         checkCount = 0;
     }
 
     /** Returns the time of the last message from the exchange. */
-    public long heardAt() {
-        return heardAt;
+    public long lastMessageAt() {
+        return lastMessageAt;
     }
 
     /** Records that a new connection is being opened as a check. */
-    public void checked(long now) {
+    public void checkStarted(long now) {
         if (checkCount == 0) {
             firstCheckAt = now;
         }
@@ -78,32 +78,32 @@
     }
 
     /** Records that this side could not open a connection, which gives no evidence about the exchange. */
-    public void notChecked(long now) {
+    public void checkSkipped(long now) {
         checkedAt = now;
     }
 
     /** Switches to the shorter times for shutdown. */
-    public void hurry() {
+    public void beginShutdown() {
         shuttingDown = true;
     }
 
     /** Returns the next step; the same one until the time advances or an event is recorded. */
-    public Step next(long now) {
-        if (now >= heardAt + DOWN_AFTER_MICROS && enoughChecks(now)) {
+    public Step nextStep(long now) {
+        if (now >= lastMessageAt + DOWN_AFTER_MICROS && enoughChecks(now)) {
             return Step.DOWN;
         }
         return now >= nextCheck() ? Step.CHECK : Step.WAIT;
     }
 
-    /** Returns when {@link #next} should be called again, after a call at {@code now}. */
-    public long due(long now) {
-        long limit = heardAt + DOWN_AFTER_MICROS;
+    /** Returns when {@link #nextStep} should be called again, after a call at {@code now}. */
+    public long nextStepAt(long now) {
+        long limit = lastMessageAt + DOWN_AFTER_MICROS;
         return limit > now ? Math.min(nextCheck(), limit) : nextCheck();
     }
 
     private long nextCheck() {
-        long firstCheck = heardAt + (shuttingDown ? SHUTDOWN_CHECK_AFTER_MICROS : CHECK_AFTER_MICROS);
-        return checkedAt > heardAt
+        long firstCheck = lastMessageAt + (shuttingDown ? SHUTDOWN_CHECK_AFTER_MICROS : CHECK_AFTER_MICROS);
+        return checkedAt > lastMessageAt
                 ? Math.max(firstCheck, checkedAt + CHECK_INTERVAL_MICROS) : firstCheck;
     }
 
@@ -121,7 +121,7 @@
      * @param first the first report on the new connection
      * @param width the circuits occupied by calls that were established before the connection
      */
-    public static boolean lacksCalls(CallControl.Report first, double width) {
+    public static boolean hasLostCalls(CallControl.Report first, double width) {
         return first.circuits() > 0 && first.circuits() - first.free() < width;
     }
 
@@ -130,7 +130,7 @@
      * because a successor of this process would not know them and nobody could notify their callers of the
      * end.
      */
-    public boolean suspect(long now) {
+    public boolean isUnresponsive(long now) {
         return checkCount > 0 && now >= firstCheckAt + SHUTDOWN_CHECK_TIMEOUT_MICROS;
     }
 }
--- a/src/main/java/wingspread/control/NamedFigures.java
+++ b/src/main/java/wingspread/control/NamedParameters.java
@@ -8,7 +8,7 @@
  * A set of named parameters with defaults and bounds, which a map by name may override. The meaning of the
  * parameters and their defaults are defined by the subclass.
  */
-public abstract class NamedFigures {
+public abstract class NamedParameters {
     /** The unit of a parameter. */
     public enum Unit { NONE, WHOLE, MICROSECONDS }
 
@@ -16,51 +16,51 @@
      * A parameter.
      *
      * @param value the value in force
-     * @param usual the default
-     * @param least the minimum, inclusive
-     * @param most  the maximum, inclusive
+     * @param defaultValue the default
+     * @param min the minimum, inclusive
+     * @param max  the maximum, inclusive
      */
-    public record Figure(
-            String name, Unit unit, double value, double usual, double least, double most) { }
+    public record Parameter(
+            String name, Unit unit, double value, double defaultValue, double min, double max) { }
 
-    private final Map<String, Double> given;
-    private final List<Figure> all = new ArrayList<>();
+    private final Map<String, Double> overrides;
+    private final List<Parameter> all = new ArrayList<>();
 
     /**
      * Creates a set without parameters, which the subclass adds.
      *
-     * @param given the values that override defaults, by name; times in microseconds
+     * @param overrides the values that override defaults, by name; times in microseconds
      */
-    NamedFigures(Map<String, Double> given) {
-        this.given = Map.copyOf(given);
+    NamedParameters(Map<String, Double> overrides) {
+        this.overrides = Map.copyOf(overrides);
     }
 
     /** Adds a parameter without a unit and returns its value. */
-    final double number(String name, double usual, double least, double most) {
-        return add(name, Unit.NONE, usual, least, most);
+    final double number(String name, double defaultValue, double min, double max) {
+        return add(name, Unit.NONE, defaultValue, min, max);
     }
 
     /** Adds a parameter with integer values and returns its value. */
-    final int integer(String name, int usual, int least, int most) {
-        return (int) add(name, Unit.WHOLE, usual, least, most);
+    final int integer(String name, int defaultValue, int min, int max) {
+        return (int) add(name, Unit.WHOLE, defaultValue, min, max);
     }
 
     /** Adds a time in microseconds and returns its value. */
-    final long time(String name, long usual, long least, long most) {
-        return (long) add(name, Unit.MICROSECONDS, usual, least, most);
+    final long time(String name, long defaultValue, long min, long max) {
+        return (long) add(name, Unit.MICROSECONDS, defaultValue, min, max);
     }
 
-    private double add(String name, Unit unit, double usual, double least, double most) {
-        double value = given.getOrDefault(name, usual);
+    private double add(String name, Unit unit, double defaultValue, double min, double max) {
+        double value = overrides.getOrDefault(name, defaultValue);
         // The negated form also rejects NaN, for which every comparison is false.
-        if (!(value >= least && value <= most)) {
-            throw new IllegalArgumentException(name + " = " + value + " is outside the range " + least
-                    + " to " + most);
+        if (!(value >= min && value <= max)) {
+            throw new IllegalArgumentException(name + " = " + value + " is outside the range " + min
+                    + " to " + max);
         }
         if (unit != Unit.NONE && value != Math.rint(value)) {
             throw new IllegalArgumentException(name + " = " + value + " is not a whole number");
         }
-        all.add(new Figure(name, unit, value, usual, least, most));
+        all.add(new Parameter(name, unit, value, defaultValue, min, max));
         return value;
     }
 
@@ -70,7 +70,7 @@
      * @throws IllegalArgumentException if a name is unknown
      */
     final void rejectUnknownNames() {
-        for (String name : given.keySet()) {
+        for (String name : overrides.keySet()) {
             if (all.stream().noneMatch(f -> f.name().equals(name))) {
                 throw new IllegalArgumentException("there is no figure '" + name + "'");
             }
@@ -94,12 +94,12 @@
     }
 
     /** Returns the given values by name, also those that equal the default; times in microseconds. */
-    public final Map<String, Double> given() {
-        return given;
+    public final Map<String, Double> overrides() {
+        return overrides;
     }
 
     /** Returns all parameters in the order in which they are declared. */
-    public final List<Figure> all() {
+    public final List<Parameter> all() {
         return List.copyOf(all);
     }
 }
--- a/src/main/java/wingspread/control/WindowControl.java
+++ b/src/main/java/wingspread/control/WindowControl.java
@@ -12,7 +12,7 @@
 
 /**
  * The window-based overload control of Noel and Johnson ("Novel Overload Controls for SIP Networks",
- * section III) for one exchange, with the parameters of {@link Figures}.
+ * section III) for one exchange, with the parameters of {@link ControlParameters}.
  *
  * <p>For each far processor it keeps a real-valued window of unanswered set-ups, which grows slowly on good
  * answers and is cut sharply on 'processor full', time-out and reset. A call takes the direct route while the
@@ -30,7 +30,7 @@
     private static final int TOKEN_SHIFT = 56;
 
     private final Settings settings;
-    private final Figures parameters;
+    private final ControlParameters parameters;
     private final Host host;
     private final SplittableRandom random;
     private final double meanWidth;
@@ -181,7 +181,7 @@
      *
      * @param seed the seed of all random choices, so that the same events give the same actions
      */
-    public WindowControl(long now, Settings settings, Figures parameters, long seed, Host host) {
+    public WindowControl(long now, Settings settings, ControlParameters parameters, long seed, Host host) {
         this.settings = settings;
         this.parameters = parameters;
         this.host = host;
@@ -210,13 +210,13 @@
                     + 1_000_000 / parameters.rateTimeConstantMicros;
             ownCallRateAt = now;
         }
-        host.timer(Math.max(now, call.deadline() - parameters.answerMarginMicros),
+        host.setTimer(Math.max(now, call.deadline() - parameters.answerMarginMicros),
                 token(TOKEN_DEADLINE, call.id()));
         route(now, state);
     }
 
     @Override
-    public void onStood(long now, long id, int attempt, long address, long elapsed) {
+    public void onCallEstablished(long now, long id, int attempt, long address, long elapsed) {
         CallState state = calls.get(id);
         if (state == null || !state.attemptPending || attempt != state.attempts - 1 || state.established) {
             return;
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void onDropped(long now, long id) {
+    public void onCallDropped(long now, long id) {
         CallState state = calls.get(id);
         if (state != null) {
             close(state);
@@ -275,7 +275,7 @@
     public void onExchangeList(long now, ListKind kind, List<Exchange> entries) {
         if (kind == ListKind.FAILED) {
             listRetryGap.grow(now, parameters.listRetryMicros, parameters.listRetryMaxMicros);
-            host.timer(listRetryGap.until, token(TOKEN_LIST_RETRY, 0));
+            host.setTimer(listRetryGap.until, token(TOKEN_LIST_RETRY, 0));
             return;
         }
         if (kind != ListKind.CACHED) {
@@ -405,7 +405,7 @@
                 at--;
             }
             heldCalls.add(at, state);
-            host.timer(state.holdUntil, token(TOKEN_HOLD_END, state.call.id()));
+            host.setTimer(state.holdUntil, token(TOKEN_HOLD_END, state.call.id()));
         }
     }
 
@@ -633,7 +633,7 @@
         if (noFurtherAttempt || state.retryNotBefore >= state.aimAt) {
             refuse(state, 0);
         } else if (state.retryNotBefore > now) {
-            host.timer(state.retryNotBefore, token(TOKEN_RETRY, state.call.id()));
+            host.setTimer(state.retryNotBefore, token(TOKEN_RETRY, state.call.id()));
         } else {
             route(now, state);
         }
--- a/src/main/java/wingspread/core/Attempt.java
+++ b/src/main/java/wingspread/core/Attempt.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether the set-up has neither been answered nor ended. */
-    public boolean out() {
+    public boolean isPending() {
         return state == State.PENDING;
     }
 
--- a/src/main/java/wingspread/core/CallState.java
+++ b/src/main/java/wingspread/core/CallState.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import wingspread.storm.Try;
+import wingspread.storm.CallOffer;
 
 /**
  * The state of a call from its arrival until nothing is pending for it: the request, the caller's side, the attempts,
@@ -18,7 +18,7 @@
     /** Whether the call control has requested a set-up that has not been sent yet. */
     boolean sendRequested;
     /** The call as the storm gate counts it; null if there is no storm gate, and for calls in transit. */
-    Try callOffer;
+    CallOffer callOffer;
 
     CallState(Request request, Caller caller, long callNumber) {
         this.request = request;
@@ -38,6 +38,6 @@
 
     /** Whether the last attempt is still pending. */
     boolean hasPendingAttempt() {
-        return lastAttempt() != null && lastAttempt().out();
+        return lastAttempt() != null && lastAttempt().isPending();
     }
 }
--- a/src/main/java/wingspread/core/Event.java
+++ b/src/main/java/wingspread/core/Event.java
@@ -16,10 +16,10 @@
     record Offered(Request request, Caller caller) implements Event { }
 
     /** A caller has abandoned its own set-up; a set-up of another caller with the same call id is not affected. */
-    record GivenUp(String call, Caller caller) implements Event { }
+    record CallerAbandoned(String call, Caller caller) implements Event { }
 
     /** A caller has released an established call. */
-    record CallerEnded(String call, int cause) implements Event { }
+    record CallerReleased(String call, int cause) implements Event { }
 
     /** An exchange has answered a set-up: the call is established. */
     record Answered(long exchange, String call, byte[] description) implements Event { }
@@ -32,19 +32,19 @@
     record Released(long exchange, String call, int cause, Report report) implements Event { }
 
     /** A set-up has ended on this side: it was not sent, its connection was lost, or it was cancelled. */
-    record Broken(Attempt attempt, Status status) implements Event { }
+    record AttemptAborted(Attempt attempt, Status status) implements Event { }
 
     /** The process of an exchange is down: the calls through it are cut. */
-    record Died(long exchange) implements Event { }
+    record ExchangeDown(long exchange) implements Event { }
 
     /**
      * An exchange has reported the free circuits toward it.
      *
-     * @param openedAt when the connection was established on which this is the first message, in microseconds;
+     * @param connectedAt when the connection was established on which this is the first message, in microseconds;
      *     {@link #UNSOLICITED} if the exchange reports a change
      */
-    record Reported(long exchange, Report report, long openedAt) implements Event {
-        /** Value of {@link #openedAt} for a report that is not the first message on a connection. */
+    record Reported(long exchange, Report report, long connectedAt) implements Event {
+        /** Value of {@link #connectedAt} for a report that is not the first message on a connection. */
         public static final long UNSOLICITED = Long.MIN_VALUE;
 
         /** Creates the report of a change of the free circuits. */
@@ -54,7 +54,7 @@
     }
 
     /** An exchange has sent a message for which there is no other event, which shows that it is alive. */
-    record Heard(long exchange) implements Event { }
+    record ExchangeAlive(long exchange) implements Event { }
 
     /** The list of exchanges has been received or updated. */
     record Listed(ListKind kind, List<Exchange> entries) implements Event { }
--- a/src/main/java/wingspread/core/StandingWatch.java
+++ b/src/main/java/wingspread/core/ExchangeMonitor.java
@@ -12,10 +12,10 @@
  * if their exchange vanished: it no longer sends releases, and while the directory is down nothing else reports the
  * end of the calls. Holds only exchanges with calls on them; an exchange is removed after its last call has ended.
  */
-final class StandingWatch {
+final class ExchangeMonitor {
     private final LongSupplier clock;
     private final Deadlines deadlines;
-    private final Exchanges exchanges;
+    private final ExchangeTransport exchanges;
     private final DownListener listener;
     private final Map<Long, MonitoredExchange> monitoredExchanges = new HashMap<>();
     private boolean shuttingDown;
@@ -41,7 +41,7 @@
     }
 
     /** Creates a monitor that schedules its checks in {@code deadlines}. */
-    StandingWatch(LongSupplier clock, Deadlines deadlines, Exchanges exchanges, DownListener listener) {
+    ExchangeMonitor(LongSupplier clock, Deadlines deadlines, ExchangeTransport exchanges, DownListener listener) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.exchanges = exchanges;
@@ -50,7 +50,7 @@
 
     /** Adds a call established through an exchange, which has just answered it. */
     void callEstablished(long now, long exchange) {
-        if (!exchanges.mayFallSilent()) {
+        if (!exchanges.needsLivenessChecks()) {
             return;
         }
         MonitoredExchange entry = monitoredExchanges.get(exchange);
@@ -58,7 +58,7 @@
             entry = new MonitoredExchange(now);
             monitoredExchanges.put(exchange, entry);
             if (shuttingDown) {
-                entry.liveness.hurry();
+                entry.liveness.beginShutdown();
             }
             scheduleCheck(exchange, entry);
         }
@@ -77,7 +77,7 @@
     void recordMessage(long now, long exchange) {
         MonitoredExchange entry = monitoredExchanges.get(exchange);
         if (entry != null) {
-            entry.liveness.heard(now);
+            entry.liveness.messageReceived(now);
         }
     }
 
@@ -85,7 +85,7 @@
     void expediteChecks() {
         shuttingDown = true;
         monitoredExchanges.forEach((exchange, entry) -> {
-            entry.liveness.hurry();
+            entry.liveness.beginShutdown();
             scheduleCheck(exchange, entry);
         });
     }
@@ -98,11 +98,11 @@
     /** Whether an exchange with calls on it has sent nothing although new connections to it were opened. */
     boolean isSuspect(long now, long exchange) {
         MonitoredExchange entry = monitoredExchanges.get(exchange);
-        return entry != null && entry.liveness.suspect(now);
+        return entry != null && entry.liveness.isUnresponsive(now);
     }
 
     private void scheduleCheck(long exchange, MonitoredExchange entry) {
-        deadlines.add(entry.liveness.due(clock.getAsLong()), () -> evaluate(exchange, entry));
+        deadlines.add(entry.liveness.nextStepAt(clock.getAsLong()), () -> evaluate(exchange, entry));
     }
 
     private void evaluate(long exchange, MonitoredExchange entry) {
@@ -114,17 +114,17 @@
             return;
         }
         long now = clock.getAsLong();
-        switch (entry.liveness.next(now)) {
+        switch (entry.liveness.nextStep(now)) {
             case DOWN -> {
                 monitoredExchanges.remove(exchange);
-                listener.exchangeDown(exchange, now - entry.liveness.heardAt());
+                listener.exchangeDown(exchange, now - entry.liveness.lastMessageAt());
                 return;
             }
             case CHECK -> {
-                if (exchanges.check(exchange)) {
-                    entry.liveness.checked(now);
+                if (exchanges.checkLiveness(exchange)) {
+                    entry.liveness.checkStarted(now);
                 } else {
-                    entry.liveness.notChecked(now);
+                    entry.liveness.checkSkipped(now);
                 }
             }
             default -> { }
--- a/src/main/java/wingspread/core/Exchanges.java
+++ b/src/main/java/wingspread/core/ExchangeTransport.java
@@ -1,12 +1,12 @@
 package wingspread.core;
 
 /** The planner's interface to the exchanges; the results of its calls are posted back as {@link Event}s. */
-public interface Exchanges {
+public interface ExchangeTransport {
     /** Sends a set-up to the exchange of the attempt. */
     void invite(Attempt attempt);
 
     /** Cancels a set-up whose deadline has passed or whose caller has abandoned the call. */
-    void withdraw(Attempt attempt);
+    void cancelAttempt(Attempt attempt);
 
     /** Releases a call that an exchange regards as established; {@code cause} is that of Q.850. */
     void release(long exchange, String call, int cause);
@@ -15,7 +15,7 @@
     void closeIdle(long exchange);
 
     /** Whether an exchange may disappear without any event; false in a model that reports every end of a call. */
-    default boolean mayFallSilent() {
+    default boolean needsLivenessChecks() {
         return true;
     }
 
@@ -25,5 +25,5 @@
      *
      * @return false if no connection can be opened now for local reasons
      */
-    boolean check(long exchange);
+    boolean checkLiveness(long exchange);
 }
--- a/src/main/java/wingspread/core/PlannedEnd.java
+++ b/src/main/java/wingspread/core/GracefulShutdown.java
@@ -8,7 +8,7 @@
  * and requests on open connections for another 0.2 s. SIGKILL follows no earlier than 0.7 s after the maximum call
  * deadline, which counts as at most 3 s. Every call must be answered before then, even if its own deadline is later.
  */
-public final class PlannedEnd {
+public final class GracefulShutdown {
     private static final long MAX_DEADLINE_MICROS = 3_000_000;
     private static final long KILL_AFTER_DEADLINE_MICROS = 700_000;
     /** Time after SIGTERM in which new connections arrive, with a margin for late ones. */
@@ -63,13 +63,13 @@
      * @param now when SIGTERM was received
      * @param maxDeadline maximum set-up time of all call classes, in microseconds
      */
-    public PlannedEnd(long now, long maxDeadline) {
+    public GracefulShutdown(long now, long maxDeadline) {
         this.startedAt = now;
         this.killAt = now + Math.min(maxDeadline, MAX_DEADLINE_MICROS) + KILL_AFTER_DEADLINE_MICROS;
     }
 
     /** Returns the time by which every call must be answered. */
-    public long lastAnswer() {
+    public long answerDeadline() {
         return killAt - FLUSH_MARGIN_MICROS;
     }
 
@@ -88,7 +88,7 @@
      */
     public Step next(long now, long unanswered, long established, int connections) {
         if (listening) {
-            if (now < startedAt + CONNECTION_ARRIVAL_MICROS && now < lastAnswer() - REQUEST_ARRIVAL_MICROS) {
+            if (now < startedAt + CONNECTION_ARRIVAL_MICROS && now < answerDeadline() - REQUEST_ARRIVAL_MICROS) {
                 return Step.SERVE;
             }
             listening = false;
@@ -101,7 +101,7 @@
         boolean requestsArrived = now >= closedAt + REQUEST_ARRIVAL_MICROS;
         boolean graceOver = established == 0
                 || now >= closedAt + REQUEST_ARRIVAL_MICROS + ESTABLISHED_CALL_GRACE_MICROS
-                || now >= lastAnswer() - REQUEST_ARRIVAL_MICROS;
+                || now >= answerDeadline() - REQUEST_ARRIVAL_MICROS;
         if (!requestsArrived) {
             return Step.SERVE;
         }
--- a/src/main/java/wingspread/core/Planner.java
+++ b/src/main/java/wingspread/core/Planner.java
@@ -22,14 +22,14 @@
 import wingspread.control.CallControl.Settings;
 import wingspread.control.CallControl.Status;
 import wingspread.control.ExchangeLiveness;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.control.WindowControl;
 import wingspread.core.CallLog.AnswerReason;
 import wingspread.core.CallLog.EndReason;
 import wingspread.turn.Deadlines;
 import wingspread.metrics.Metrics;
-import wingspread.storm.StormFigures;
-import wingspread.storm.Try;
+import wingspread.storm.StormParameters;
+import wingspread.storm.CallOffer;
 import wingspread.turn.Worker;
 
 /**
@@ -42,9 +42,9 @@
  */
 public final class Planner implements CallControl.Host, Worker {
     /** Q.850 cause 16, normal call clearing. */
-    public static final int NORMAL = 16;
+    public static final int CAUSE_NORMAL_CLEARING = 16;
     /** Q.850 cause 41, temporary failure. */
-    public static final int CUT = 41;
+    public static final int CAUSE_TEMPORARY_FAILURE = 41;
     private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
     private static final long NO_NUMBER = 0;
     /** Time that an exchange has to send its pending releases after its first report on a connection. */
@@ -57,20 +57,20 @@
 
     private final LongSupplier clock;
     private final Settings settings;
-    private final Exchanges exchanges;
+    private final ExchangeTransport exchanges;
     private final Metrics metrics;
     private final int maxCalls;
-    private final Caller.Strangers unknownCalls;
+    private final Caller.UnknownCallListener unknownCalls;
     private final CallControl control;
     private final CallLog log = new CallLog();
     /** Null if storms of redials are not damped. */
-    private final StormDesk stormGate;
+    private final StormGateAdapter stormGate;
     private final ArrayDeque<Event> inbox = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
     private final Deadlines deadlines = new Deadlines();
     private final Map<String, CallState> byId = new LinkedHashMap<>();
     private final Map<Long, CallState> byNumber = new HashMap<>();
-    private final StandingWatch exchangeMonitor;
+    private final ExchangeMonitor exchangeMonitor;
     /** Start time of each listed exchange, by address. */
     private final Map<Long, Long> startTimes = new HashMap<>();
     /** Ids of the calls that ended most recently, oldest first. */
@@ -87,8 +87,8 @@
      * @param maxCalls open calls kept at a time; further ones are refused
      * @param unknownCalls receives the releases of calls that this process did not set up
      */
-    public Planner(LongSupplier clock, Settings settings, Figures parameters, long seed, int maxCalls,
-            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics) {
+    public Planner(LongSupplier clock, Settings settings, ControlParameters parameters, long seed, int maxCalls,
+            ExchangeTransport exchanges, Caller.UnknownCallListener unknownCalls, Metrics metrics) {
         this(clock, settings, parameters, seed, maxCalls, exchanges, unknownCalls, metrics, null);
     }
 
@@ -99,18 +99,18 @@
      * @param unknownCalls receives the releases of calls that this process did not set up
      * @param stormParameters parameters of the storm gate, which may refuse redials; null for none
      */
-    public Planner(LongSupplier clock, Settings settings, Figures parameters, long seed, int maxCalls,
-            Exchanges exchanges, Caller.Strangers unknownCalls, Metrics metrics,
-            StormFigures stormParameters) {
+    public Planner(LongSupplier clock, Settings settings, ControlParameters parameters, long seed, int maxCalls,
+            ExchangeTransport exchanges, Caller.UnknownCallListener unknownCalls, Metrics metrics,
+            StormParameters stormParameters) {
         this.stormGate = stormParameters == null ? null
-                : new StormDesk(clock, settings, stormParameters, seed, metrics, deadlines);
+                : new StormGateAdapter(clock, settings, stormParameters, seed, metrics, deadlines);
         this.clock = clock;
         this.settings = settings;
         this.exchanges = exchanges;
         this.unknownCalls = unknownCalls;
         this.metrics = metrics;
         this.maxCalls = maxCalls;
-        this.exchangeMonitor = new StandingWatch(clock, deadlines, exchanges,
+        this.exchangeMonitor = new ExchangeMonitor(clock, deadlines, exchanges,
                 (exchange, silenceMicros) -> actions.add(() -> exchangeUnresponsive(exchange, silenceMicros)));
         this.control = new WindowControl(clock.getAsLong(), settings, parameters, seed, this);
     }
@@ -127,7 +127,7 @@
             while (!inbox.isEmpty()) {
                 handle(now, inbox.remove());
             }
-            deadlines.play(now);
+            deadlines.runDue(now);
             while (!actions.isEmpty()) {
                 actions.remove().run();
             }
@@ -143,7 +143,7 @@
      * Sets the latest time of any answer, for open calls and for new ones, whose deadlines are shortened to it. SIGKILL
      * may come before the callers' own deadlines, and every call must be answered by then.
      */
-    public void answerBy(long latest) {
+    public void setAnswerDeadline(long latest) {
         answerDeadline = Math.min(answerDeadline, latest);
         exchangeMonitor.expediteChecks();
         for (CallState state : byId.values()) {
@@ -154,12 +154,12 @@
     }
 
     /** Refuses every new call from now on; open calls continue. */
-    public void refuseNew() {
+    public void refuseNewCalls() {
         draining = true;
     }
 
     /** Returns the number of calls that have no final answer yet. */
-    public long unanswered() {
+    public long unansweredCalls() {
         return byId.values().stream().filter(state -> !state.answered).count();
     }
 
@@ -169,9 +169,9 @@
      * @param connected whether callers hold connections on which they can be notified of an end; if not, calls that
      *     survive a restart of this process are not counted
      */
-    public long standing(boolean connected) {
+    public long establishedCalls(boolean connected) {
         return byId.values().stream()
-                .filter(state -> state.isEstablished() && (connected || !state.caller.outlivesRestart())).count();
+                .filter(state -> state.isEstablished() && (connected || !state.caller.survivesRestart())).count();
     }
 
     /**
@@ -184,13 +184,13 @@
         long now = clock.getAsLong();
         for (CallState state : List.copyOf(byId.values())) {
             if (state.isEstablished()
-                    && (!state.caller.outlivesRestart()
+                    && (!state.caller.survivesRestart()
                     || exchangeMonitor.isSuspect(now, state.lastAttempt().exchange()))) {
-                exchanges.release(state.lastAttempt().exchange(), state.request.id(), CUT);
-                endEstablishedCall(clock.getAsLong(), state, Status.CANCELLED, Report.NOTHING, CUT,
+                exchanges.release(state.lastAttempt().exchange(), state.request.id(), CAUSE_TEMPORARY_FAILURE);
+                endEstablishedCall(clock.getAsLong(), state, Status.CANCELLED, Report.EMPTY, CAUSE_TEMPORARY_FAILURE,
                         EndReason.PLANNED_END);
             } else if (state.hasPendingAttempt()) {
-                exchanges.withdraw(state.lastAttempt());
+                exchanges.cancelAttempt(state.lastAttempt());
                 state.lastAttempt().end();
                 removeIfDone(state);
             }
@@ -203,27 +203,27 @@
         recordSignOfLife(now, event);
         if (event instanceof Event.Offered e) {
             callOffered(now, e.request(), e.caller());
-        } else if (event instanceof Event.GivenUp e) {
+        } else if (event instanceof Event.CallerAbandoned e) {
             callerAbandoned(now, e.call(), e.caller());
-        } else if (event instanceof Event.CallerEnded e) {
+        } else if (event instanceof Event.CallerReleased e) {
             callerReleased(now, e.call(), e.cause());
         } else if (event instanceof Event.Answered e) {
             exchangeAnswered(now, e);
         } else if (event instanceof Event.Rejected e) {
             Attempt attempt = findAttempt(e.exchange(), e.call());
-            if (attempt != null && attempt.out()) {
+            if (attempt != null && attempt.isPending()) {
                 endAttempt(now, attempt, e.status(), e.cause(), e.report());
             }
         } else if (event instanceof Event.Released e) {
             exchangeReleased(now, e);
-        } else if (event instanceof Event.Broken e) {
-            if (e.attempt().out()) {
-                endAttempt(now, e.attempt(), e.status(), Cause.NONE, Report.NOTHING);
+        } else if (event instanceof Event.AttemptAborted e) {
+            if (e.attempt().isPending()) {
+                endAttempt(now, e.attempt(), e.status(), Cause.NONE, Report.EMPTY);
             }
-        } else if (event instanceof Event.Died e) {
+        } else if (event instanceof Event.ExchangeDown e) {
             endCallsSentBefore(now, e.exchange(), Long.MAX_VALUE, EndReason.EXCHANGE_DOWN);
         } else if (event instanceof Event.Reported e) {
-            if (e.openedAt() != Event.Reported.UNSOLICITED && exchangeMonitor.isMonitored(e.exchange())) {
+            if (e.connectedAt() != Event.Reported.UNSOLICITED && exchangeMonitor.isMonitored(e.exchange())) {
                 deadlines.add(now + RELEASE_GRACE_MICROS, () -> actions.add(() -> checkForLostCalls(e)));
             }
             if (stormGate != null) {
@@ -237,7 +237,7 @@
 
     /** Records the sign of life if the event results from a message of an exchange. */
     private void recordSignOfLife(long now, Event event) {
-        if (event instanceof Event.Heard e) {
+        if (event instanceof Event.ExchangeAlive e) {
             exchangeMonitor.recordMessage(now, e.exchange());
         } else if (event instanceof Event.Answered e) {
             exchangeMonitor.recordMessage(now, e.exchange());
@@ -259,25 +259,25 @@
         if (byId.containsKey(request.id())) {
             metrics.count("taken.repeats");
             log.answered(request.id(), "failed", AnswerReason.REPEATED_ID, 0);
-            caller.failed();
+            caller.onFailed();
             return;
         }
         if (draining) {
             metrics.count("answered.draining");
             log.answered(request.id(), "refused", AnswerReason.PLANNED_END, 0);
-            caller.refused(0);
+            caller.onRefused(0);
             return;
         }
         // Calls beyond what the memory can hold are refused before they reach the call control.
         if (byId.size() >= maxCalls || descriptionBytes + request.description().length > MAX_DESCRIPTION_BYTES) {
             metrics.count("answered.overfull");
             log.answered(request.id(), "refused", AnswerReason.TOO_MANY_CALLS, 0);
-            caller.refused(settings.maxRetryAfter());
+            caller.onRefused(settings.maxRetryAfter());
             return;
         }
         CallState state = new CallState(request, caller, nextCallNumber++);
         if (stormGate != null && !request.transit()) {
-            Optional<Try> admitted = stormGate.admit(now, request, parseNumber(request.number()), caller);
+            Optional<CallOffer> admitted = stormGate.admit(now, request, parseNumber(request.number()), caller);
             if (admitted.isEmpty()) {
                 log.answered(request.id(), "refused", AnswerReason.STORM, 0);
                 return;
@@ -310,11 +310,11 @@
             boolean shutdown = state.request.deadline() > answerDeadline;
             LOG.warn("call {} reached {} without an answer", state.request.id(),
                     shutdown ? "the shutdown deadline" : "its deadline");
-            control.onDropped(clock.getAsLong(), state.callNumber);
+            control.onCallDropped(clock.getAsLong(), state.callNumber);
             recordFailedOffer(state);
             log.answered(state.request.id(), "failed", shutdown ? AnswerReason.PLANNED_END : AnswerReason.DEADLINE,
                     state.attempts.size());
-            answer(state, "failed", state.caller::failed);
+            answer(state, "failed", state.caller::onFailed);
         }
     }
 
@@ -333,7 +333,7 @@
             state.lastAttempt().end();
             exchangeMonitor.callEnded(state.lastAttempt().exchange());
             log.callEnded(state.lastAttempt(), EndReason.CALLER_RELEASED, cause);
-            reportOutcome(now, state, state.lastAttempt(), Status.CANCELLED, Cause.NONE, Report.NOTHING);
+            reportOutcome(now, state, state.lastAttempt(), Status.CANCELLED, Cause.NONE, Report.EMPTY);
             removeIfDone(state);
         }
     }
@@ -349,14 +349,14 @@
             return;
         }
         if (state.answered) {
-            callerReleased(now, id, NORMAL);
+            callerReleased(now, id, CAUSE_NORMAL_CLEARING);
         } else {
             metrics.count("taken.given-up");
             log.answered(id, "abandoned", AnswerReason.CALLER_GAVE_UP, state.attempts.size());
             state.answered = true;
-            state.caller.givenUp();
+            state.caller.onAbandoned();
             recordFailedOffer(state);
-            control.onDropped(now, state.callNumber);
+            control.onCallDropped(now, state.callNumber);
             removeIfDone(state);
         }
     }
@@ -369,23 +369,23 @@
         CallState state = byId.get(event.call());
         // The answer may have crossed a CANCEL or a time-out of this side. The exchange then regards the call as
         // established and would keep its circuits, although no caller waits for it.
-        if (attempt == null || !attempt.out() || state.answered) {
+        if (attempt == null || !attempt.isPending() || state.answered) {
             metrics.count("sent.crossed-releases");
             log.lateAnswer(event.call(), event.exchange());
-            exchanges.release(event.exchange(), event.call(), NORMAL);
-            if (attempt != null && attempt.out()) {
-                endAttempt(now, attempt, Status.CANCELLED, Cause.NONE, Report.NOTHING);
+            exchanges.release(event.exchange(), event.call(), CAUSE_NORMAL_CLEARING);
+            if (attempt != null && attempt.isPending()) {
+                endAttempt(now, attempt, Status.CANCELLED, Cause.NONE, Report.EMPTY);
             }
             return;
         }
         attempt.establish(now);
         exchangeMonitor.callEstablished(now, attempt.exchange());
         log.established(attempt, now);
-        control.onStood(now, state.callNumber, attempt.index(), attempt.exchange(), now - attempt.sentAt());
+        control.onCallEstablished(now, state.callNumber, attempt.index(), attempt.exchange(), now - attempt.sentAt());
         if (state.callOffer != null) {
             stormGate.recordSuccess(now, state.callOffer);
         }
-        answer(state, "stood", () -> state.caller.stands(event.description()));
+        answer(state, "stood", () -> state.caller.onEstablished(event.description()));
     }
 
     private void exchangeReleased(long now, Event.Released event) {
@@ -395,13 +395,13 @@
         if (state == null && rememberEnded(event.call())) {
             metrics.count("answered.strangers");
             log.unknownCallReleased(event.call(), event.exchange(), event.cause());
-            unknownCalls.over(event.call(), event.cause());
+            unknownCalls.onEnded(event.call(), event.cause());
         }
         Attempt attempt = findAttempt(event.exchange(), event.call());
         if (attempt != null && attempt.isEstablished()) {
-            endEstablishedCall(now, state, event.cause() == NORMAL ? Status.OK : Status.RESET,
+            endEstablishedCall(now, state, event.cause() == CAUSE_NORMAL_CLEARING ? Status.OK : Status.RESET,
                     event.report(), event.cause(), EndReason.EXCHANGE_RELEASED);
-        } else if (attempt != null && attempt.out()) {
+        } else if (attempt != null && attempt.isPending()) {
             endAttempt(now, attempt, Status.RESET, Cause.NONE, event.report());
         }
     }
@@ -431,7 +431,7 @@
     /** Ends the calls established through an exchange whose set-ups were sent before the given time. */
     private void endCallsSentBefore(long now, long exchange, long sentBefore, EndReason reason) {
         for (CallState state : establishedCallsThrough(exchange, attempt -> attempt.sentAt() < sentBefore)) {
-            endEstablishedCall(now, state, Status.RESET, Report.NOTHING, CUT, reason);
+            endEstablishedCall(now, state, Status.RESET, Report.EMPTY, CAUSE_TEMPORARY_FAILURE, reason);
         }
     }
 
@@ -451,10 +451,10 @@
      */
     private void checkForLostCalls(Event.Reported firstReport) {
         Predicate<Attempt> establishedBefore =
-                attempt -> attempt.establishedAt() < firstReport.openedAt() - MAX_REPORT_AGE_MICROS;
+                attempt -> attempt.establishedAt() < firstReport.connectedAt() - MAX_REPORT_AGE_MICROS;
         double width = establishedCallsThrough(firstReport.exchange(), establishedBefore).stream()
                 .mapToDouble(state -> state.request.width()).sum();
-        if (ExchangeLiveness.lacksCalls(firstReport.report(), width)) {
+        if (ExchangeLiveness.hasLostCalls(firstReport.report(), width)) {
             endCallsOfExchange(firstReport.exchange(), EndReason.EXCHANGE_LOST_CALLS, 0, establishedBefore);
         }
     }
@@ -469,8 +469,8 @@
         log.exchangeDown(exchange, reason, calls.size(), silenceMicros);
         for (CallState state : calls) {
             // If the exchange is alive after all, it must not keep the circuits.
-            exchanges.release(exchange, state.request.id(), CUT);
-            endEstablishedCall(now, state, Status.RESET, Report.NOTHING, CUT, reason);
+            exchanges.release(exchange, state.request.id(), CAUSE_TEMPORARY_FAILURE);
+            endEstablishedCall(now, state, Status.RESET, Report.EMPTY, CAUSE_TEMPORARY_FAILURE, reason);
         }
     }
 
@@ -480,9 +480,9 @@
         Attempt attempt = state.lastAttempt();
         attempt.end();
         exchangeMonitor.callEnded(attempt.exchange());
-        metrics.count(cause == NORMAL ? "answered.over" : "answered.cut");
+        metrics.count(cause == CAUSE_NORMAL_CLEARING ? "answered.over" : "answered.cut");
         log.callEnded(attempt, reason, cause);
-        state.caller.over(cause);
+        state.caller.onEnded(cause);
         reportOutcome(now, state, attempt, status, Cause.NONE, report);
         removeIfDone(state);
     }
@@ -566,7 +566,7 @@
             metrics.count("ended.MOOT.unsent");
             if (!state.hasPendingAttempt()) {
                 state.attempts.add(attempt);
-                endAttempt(now, attempt, Status.MOOT, Cause.NONE, Report.NOTHING);
+                endAttempt(now, attempt, Status.MOOT, Cause.NONE, Report.EMPTY);
             }
             return;
         }
@@ -578,15 +578,15 @@
     }
 
     private void attemptTimedOut(Attempt attempt) {
-        if (attempt.out()) {
-            exchanges.withdraw(attempt);
-            endAttempt(clock.getAsLong(), attempt, Status.TIMEOUT, Cause.NONE, Report.NOTHING);
+        if (attempt.isPending()) {
+            exchanges.cancelAttempt(attempt);
+            endAttempt(clock.getAsLong(), attempt, Status.TIMEOUT, Cause.NONE, Report.EMPTY);
         }
     }
 
     @Override
     public void refuse(long call, long retryAfter) {
-        actions.add(() -> answerIfOpen(call, "refused", state -> state.caller.refused(
+        actions.add(() -> answerIfOpen(call, "refused", state -> state.caller.onRefused(
                 state.callOffer == null ? retryAfter : stormGate.waitAfterRefusal(state.callOffer, retryAfter))));
     }
 
@@ -594,7 +594,7 @@
     public void fail(long call) {
         actions.add(() -> answerIfOpen(call, "failed", state -> {
             recordFailedOffer(state);
-            state.caller.failed();
+            state.caller.onFailed();
         }));
     }
 
@@ -612,14 +612,14 @@
         actions.add(() -> {
             CallState state = byNumber.get(call);
             if (state != null && state.hasPendingAttempt() && state.lastAttempt().index() == attempt) {
-                exchanges.withdraw(state.lastAttempt());
-                inbox.add(new Event.Broken(state.lastAttempt(), Status.CANCELLED));
+                exchanges.cancelAttempt(state.lastAttempt());
+                inbox.add(new Event.AttemptAborted(state.lastAttempt(), Status.CANCELLED));
             }
         });
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         deadlines.add(at, () -> control.onTimer(clock.getAsLong(), token));
     }
 
@@ -634,7 +634,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         LOG.warn("ignoring a message to softswitch {}: this platform does not allow peer messages", peer);
     }
 
--- a/src/main/java/wingspread/directory/Directory.java
+++ b/src/main/java/wingspread/directory/Directory.java
@@ -51,14 +51,14 @@
      * @param listener receives the cached list and every later change
      */
     public Directory(Loop loop, List<String> zones, List<String> kinds, long seed,
-            BiConsumer<ListKind, List<Listing>> listener) {
+            BiConsumer<ListKind, List<DirectoryEntry>> listener) {
         this.loop = loop;
         this.client = new DirectoryClient(new Roster(zones, kinds), new SplittableRandom(seed), new SocketTransport(),
                 listener);
     }
 
     /** Loads the cached list of exchanges from the configuration. */
-    public void known(Map<?, ?> cached) {
+    public void loadCached(Map<?, ?> cached) {
         client.loadCached(cached);
     }
 
@@ -66,7 +66,7 @@
      * Switches to the directory server at this address. The list and its serial number are kept. If the address cannot
      * be used, the client continues to query the previous server.
      */
-    public void follow(InetSocketAddress address) {
+    public void setServer(InetSocketAddress address) {
         new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
                 .option(ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_MESSAGE_BYTES))
                 .handler(new DatagramHandler("directory",
--- a/src/main/java/wingspread/directory/DirectoryClient.java
+++ b/src/main/java/wingspread/directory/DirectoryClient.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wingspread.control.CallControl.ListKind;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /**
  * Queries the directory and applies its responses to the list of exchanges. The list is queried at a fixed interval,
@@ -65,7 +65,7 @@
     private final Roster roster;
     private final SplittableRandom random;
     private final Transport transport;
-    private final BiConsumer<ListKind, List<Listing>> listener;
+    private final BiConsumer<ListKind, List<DirectoryEntry>> listener;
     /** Queries that may still be answered, keyed by id, oldest first. */
     private final Map<Integer, PendingQuery> pendingQueries = new LinkedHashMap<>();
     /** When each host was last queried, oldest first; an entry is kept while the host may not be queried again. */
@@ -76,7 +76,7 @@
     private String faultCode = "";
 
     DirectoryClient(Roster roster, SplittableRandom random, Transport transport,
-            BiConsumer<ListKind, List<Listing>> listener) {
+            BiConsumer<ListKind, List<DirectoryEntry>> listener) {
         this.roster = roster;
         this.random = random;
         this.transport = transport;
@@ -118,7 +118,7 @@
     void handleMessage(long now, byte[] bytes) {
         try {
             handleResponse(now, DnsMessage.parse(bytes));
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             reportFault("BAD_INPUT", e.getMessage());
         }
     }
@@ -128,7 +128,7 @@
         reportFault("BAD_INPUT", detail);
     }
 
-    private void handleResponse(long now, DnsMessage message) throws BadInput {
+    private void handleResponse(long now, DnsMessage message) throws InvalidInputException {
         PendingQuery query = pendingQueries.get(message.id());
         if (query == null) {
             return;
@@ -159,9 +159,9 @@
     /**
      * Applies a list. Exchanges missing from a complete list are removed; those missing from a truncated one are kept.
      */
-    private void handleList(long now, DnsMessage message) throws BadInput {
+    private void handleList(long now, DnsMessage message) throws InvalidInputException {
         Roster.Update update = roster.applyResponse(message);
-        for (Listing change : update.changes()) {
+        for (DirectoryEntry change : update.changes()) {
             LOG.info("directory {}: exchange {} at {} is {}, started at {}", roster.serial(), change.uid(),
                     change.endpoint(), change.exchange().readiness(), change.exchange().upSince());
         }
--- a/src/main/java/wingspread/directory/Listing.java
+++ b/src/main/java/wingspread/directory/DirectoryEntry.java
@@ -11,12 +11,12 @@
  * @param endpoint address at which the exchange accepts connections
  * @param exchange the entry of the exchange in the list of the control module
  */
-public record Listing(String uid, InetSocketAddress endpoint, Exchange exchange) {
+public record DirectoryEntry(String uid, InetSocketAddress endpoint, Exchange exchange) {
     /**
      * Whether another entry, which may be null, has the same values. Compares the fields explicitly, because the
      * generated {@code equals} of a record is linked field by field at run time, which adds 30 ms to the start.
      */
-    boolean sameAs(Listing other) {
+    boolean sameAs(DirectoryEntry other) {
         if (other == null) {
             return false;
         }
@@ -29,8 +29,8 @@
     }
 
     /** Returns this entry with the exchange marked as removed from the directory. */
-    Listing asRemoved() {
-        return new Listing(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
+    DirectoryEntry asRemoved() {
+        return new DirectoryEntry(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
                 exchange.place(), Readiness.GONE, exchange.weight(), exchange.upSince()));
     }
 }
--- a/src/main/java/wingspread/directory/DnsMessage.java
+++ b/src/main/java/wingspread/directory/DnsMessage.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /**
  * A response of the directory in the subset of DNS (RFC 1035, RFC 2782) that it uses: one question, and records of the
@@ -62,14 +62,14 @@
      * Parses a response. A message that is marked as truncated may hold fewer records than its header announces, but
      * must end at the end of a record.
      *
-     * @throws BadInput if the message is malformed, or is cut short without being marked as truncated
+     * @throws InvalidInputException if the message is malformed, or is cut short without being marked as truncated
      */
-    public static DnsMessage parse(byte[] bytes) throws BadInput {
+    public static DnsMessage parse(byte[] bytes) throws InvalidInputException {
         Reader in = new Reader(bytes);
         int id = in.u16();
         int flags = in.u16();
         if ((flags & RESPONSE) == 0) {
-            throw new BadInput("DNS: message is not a response");
+            throw new InvalidInputException("DNS: message is not a response");
         }
         boolean truncated = (flags & TRUNCATED) != 0;
         int questions = in.u16();
@@ -100,20 +100,20 @@
             return position == bytes.length;
         }
 
-        int u8() throws BadInput {
+        int u8() throws InvalidInputException {
             if (position >= bytes.length) {
-                throw new BadInput("DNS: unexpected end of message");
+                throw new InvalidInputException("DNS: unexpected end of message");
             }
             return bytes[position++] & 0xff;
         }
 
-        int u16() throws BadInput {
+        int u16() throws InvalidInputException {
             return u8() << 8 | u8();
         }
 
-        void skip(int length) throws BadInput {
+        void skip(int length) throws InvalidInputException {
             if (length > bytes.length - position) {
-                throw new BadInput("DNS: unexpected end of message");
+                throw new InvalidInputException("DNS: unexpected end of message");
             }
             position += length;
         }
@@ -122,7 +122,7 @@
          * Reads a name, which may end in a compression pointer. Limits the number of pointers followed, as malformed
          * ones may form a loop.
          */
-        String name() throws BadInput {
+        String name() throws InvalidInputException {
             StringBuilder out = new StringBuilder();
             int resumeAt = -1;
             int pointers = 0;
@@ -131,11 +131,11 @@
                     int target = (length & 0x3f) << 8 | u8();
                     resumeAt = resumeAt < 0 ? position : resumeAt;
                     if (++pointers > MAX_POINTERS || target >= bytes.length) {
-                        throw new BadInput("DNS: invalid compression pointer in a name");
+                        throw new InvalidInputException("DNS: invalid compression pointer in a name");
                     }
                     position = target;
                 } else if (length > 63 || out.length() + length > MAX_NAME_LENGTH) {
-                    throw new BadInput("DNS: label or name too long");
+                    throw new InvalidInputException("DNS: label or name too long");
                 } else {
                     out.append(out.length() == 0 ? "" : ".").append(text(length));
                 }
@@ -144,20 +144,20 @@
             return out.toString().toLowerCase(Locale.ROOT);
         }
 
-        String text(int length) throws BadInput {
+        String text(int length) throws InvalidInputException {
             int from = position;
             skip(length);
             return new String(bytes, from, length, StandardCharsets.ISO_8859_1);
         }
 
-        void record(List<Record> out) throws BadInput {
+        void record(List<Record> out) throws InvalidInputException {
             String name = name();
             int type = u16();
             skip(6);
             int length = u16();
             int end = position + length;
             if (end > bytes.length) {
-                throw new BadInput("DNS: record extends past the end of the message");
+                throw new InvalidInputException("DNS: record extends past the end of the message");
             }
             switch (type) {
                 case SRV -> out.add(new Srv(u16(), u16(), u16(), name()));
@@ -181,7 +181,7 @@
                 default -> position = end;
             }
             if (position != end) {
-                throw new BadInput("DNS: record data does not match the record length");
+                throw new InvalidInputException("DNS: record data does not match the record length");
             }
         }
     }
--- a/src/main/java/wingspread/directory/Roster.java
+++ b/src/main/java/wingspread/directory/Roster.java
@@ -15,7 +15,7 @@
 import wingspread.config.NodeConfig;
 import wingspread.control.CallControl.Exchange;
 import wingspread.control.CallControl.Readiness;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /**
  * The list of exchanges, to which the responses of the directory are applied. Exchanges are identified by their uid,
@@ -30,7 +30,7 @@
     private final List<String> zones;
     private final List<String> kinds;
     private final Map<String, Long> exchangeNumbers = new HashMap<>();
-    private final Map<String, Listing> entries = new LinkedHashMap<>();
+    private final Map<String, DirectoryEntry> entries = new LinkedHashMap<>();
     private final Map<String, HostRecords> resolvedHosts = new LinkedHashMap<>();
     private long lastNumber;
     private long serial;
@@ -49,7 +49,7 @@
      * @param changes exchanges that were added, changed or removed
      * @param incompleteHosts hosts whose address or attributes are neither in the response nor known
      */
-    record Update(List<Listing> changes, Set<String> incompleteHosts) { }
+    record Update(List<DirectoryEntry> changes, Set<String> incompleteHosts) { }
 
     Roster(List<String> zones, List<String> kinds) {
         this.zones = zones;
@@ -57,7 +57,7 @@
     }
 
     /** Returns the exchanges in the list. */
-    List<Listing> entries() {
+    List<DirectoryEntry> entries() {
         return List.copyOf(entries.values());
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Stores or removes an exchange. Nothing is kept for a removed uid, as endless replacements would leak memory. */
-    private void store(Listing entry) {
+    private void store(DirectoryEntry entry) {
         if (entry.exchange().readiness() == Readiness.GONE) {
             entries.remove(entry.uid());
             exchangeNumbers.remove(entry.uid());
@@ -103,7 +103,7 @@
         }
     }
 
-    private Listing fromJson(Map<?, ?> map) {
+    private DirectoryEntry fromJson(Map<?, ?> map) {
         Readiness readiness = switch (String.valueOf(map.get("state"))) {
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
@@ -119,10 +119,10 @@
         return value instanceof Double d ? d : 0;
     }
 
-    private Listing entry(String uid, InetSocketAddress endpoint, String zone, String kind, double cell,
+    private DirectoryEntry entry(String uid, InetSocketAddress endpoint, String zone, String kind, double cell,
             Readiness readiness, double weight, long startedMs) {
         long number = exchangeNumbers.computeIfAbsent(uid, u -> ++lastNumber);
-        return new Listing(uid, endpoint, new Exchange(number, Math.max(0, zones.indexOf(zone)),
+        return new DirectoryEntry(uid, endpoint, new Exchange(number, Math.max(0, zones.indexOf(zone)),
                 Math.max(0, kinds.indexOf(kind)), (int) cell, readiness, weight, startedMs * 1_000));
     }
 
@@ -131,9 +131,9 @@
      * response may lack the serial number and is then applied as if it were new; but as it may be the older one, it
      * does not change a draining exchange back to ready.
      *
-     * @throws BadInput if a record is malformed; the list is then unchanged
+     * @throws InvalidInputException if a record is malformed; the list is then unchanged
      */
-    Update applyResponse(DnsMessage message) throws BadInput {
+    Update applyResponse(DnsMessage message) throws InvalidInputException {
         long newSerial = message.records().stream().filter(DnsMessage.Soa.class::isInstance)
                 .mapToLong(r -> ((DnsMessage.Soa) r).serial()).max().orElse(message.truncated() ? Long.MAX_VALUE : -1);
         boolean hasSerial = newSerial < Long.MAX_VALUE;
@@ -144,12 +144,12 @@
         collectHostRecords(message, hosts);
         Set<String> listedUids = new HashSet<>();
         Set<String> incompleteHosts = new LinkedHashSet<>();
-        List<Listing> changes = new ArrayList<>();
+        List<DirectoryEntry> changes = new ArrayList<>();
         for (DnsMessage.Record record : message.records()) {
             if (record instanceof DnsMessage.Srv srv) {
                 String uid = srv.target().split("\\.")[0];
                 listedUids.add(uid);
-                Listing entry = entry(uid, srv, hosts);
+                DirectoryEntry entry = entry(uid, srv, hosts);
                 if (entry == null) {
                     incompleteHosts.add(srv.target());
                 } else if (!entry.sameAs(entries.get(uid)) && (hasSerial || !resumesFromDraining(entry))) {
@@ -158,7 +158,7 @@
             }
         }
         if (!message.truncated()) {
-            for (Listing old : entries.values()) {
+            for (DirectoryEntry old : entries.values()) {
                 if (!listedUids.contains(old.uid())) {
                     changes.add(old.asRemoved());
                 }
@@ -171,8 +171,8 @@
         return new Update(changes, incompleteHosts);
     }
 
-    private boolean resumesFromDraining(Listing entry) {
-        Listing previous = entries.get(entry.uid());
+    private boolean resumesFromDraining(DirectoryEntry entry) {
+        DirectoryEntry previous = entries.get(entry.uid());
         return previous != null && previous.exchange().readiness() == Readiness.DRAINING
                 && entry.exchange().readiness() == Readiness.READY;
     }
@@ -228,11 +228,11 @@
     }
 
     /** Returns the exchange of an SRV record, or null if its address or attributes are unknown. */
-    private Listing entry(String uid, DnsMessage.Srv srv, Map<String, HostRecords> hosts)
-            throws BadInput {
+    private DirectoryEntry entry(String uid, DnsMessage.Srv srv, Map<String, HostRecords> hosts)
+            throws InvalidInputException {
         HostRecords inResponse = hosts.getOrDefault(srv.target(), new HostRecords());
         HostRecords resolved = resolvedHosts.getOrDefault(srv.target(), new HostRecords());
-        Listing previous = entries.get(uid);
+        DirectoryEntry previous = entries.get(uid);
         Readiness readiness = srv.priority() == 0 ? Readiness.READY : Readiness.DRAINING;
         byte[] address = inResponse.address != null ? inResponse.address : resolved.address;
         Map<String, String> attributes = inResponse.attributes != null ? inResponse.attributes : resolved.attributes;
@@ -245,7 +245,7 @@
         InetSocketAddress endpoint = endpoint(address, srv.port());
         if (attributes == null) {
             Exchange exchange = previous.exchange();
-            return new Listing(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
+            return new DirectoryEntry(uid, endpoint, new Exchange(exchange.address(), exchange.zone(), exchange.kind(),
                     exchange.place(), readiness, srv.weight() / 10.0, exchange.upSince()));
         }
         String[] labels = srv.target().split("\\.");
@@ -254,19 +254,19 @@
                 longAttribute(attributes, "started"));
     }
 
-    private static long longAttribute(Map<String, String> attributes, String name) throws BadInput {
+    private static long longAttribute(Map<String, String> attributes, String name) throws InvalidInputException {
         try {
             return Long.parseLong(attributes.getOrDefault(name, "0"));
         } catch (NumberFormatException e) {
-            throw new BadInput("DNS: " + name + " is not a number");
+            throw new InvalidInputException("DNS: " + name + " is not a number");
         }
     }
 
-    private static InetSocketAddress endpoint(byte[] address, int port) throws BadInput {
+    private static InetSocketAddress endpoint(byte[] address, int port) throws InvalidInputException {
         try {
             return new InetSocketAddress(InetAddress.getByAddress(address), port);
         } catch (UnknownHostException e) {
-            throw new BadInput("DNS: address of invalid length");
+            throw new InvalidInputException("DNS: address of invalid length");
         }
     }
 }
--- a/src/main/java/wingspread/front/jsonl/JsonlFront.java
+++ b/src/main/java/wingspread/front/jsonl/JsonlFront.java
@@ -28,19 +28,19 @@
 import wingspread.json.Json;
 import wingspread.json.LineDecoder;
 import wingspread.net.Admission;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.CloseReason;
 import wingspread.net.Loop;
 import wingspread.net.MessageHandler;
-import wingspread.net.Newcomers;
-import wingspread.storm.ReconnectFigures;
+import wingspread.net.AcceptThrottle;
+import wingspread.storm.ReconnectParameters;
 import wingspread.metrics.Metrics;
 
 /**
  * The front end for the platform's callers, which use JSON lines over TCP. Converts their messages to events of the
  * planner and the planner's results to messages; all decisions are the planner's.
  */
-public final class JsonlFront implements MessageHandler.Owner<Map<?, ?>>, Caller.Strangers {
+public final class JsonlFront implements MessageHandler.Listener<Map<?, ?>>, Caller.UnknownCallListener {
     private static final Logger CALLS = LoggerFactory.getLogger("call");
     private static final int REFUSED_CAUSE = 42;
     private static final int INVALID_CAUSE = 100;
@@ -62,7 +62,7 @@
     private final Consumer<Event> planner;
     private final BooleanSupplier ready;
     private final Metrics metrics;
-    private final ReconnectFigures reconnects;
+    private final ReconnectParameters reconnects;
     /** The open connections, each with its calls that are pending or established. */
     private final Map<Channel, ConnectionCalls> connections = new LinkedHashMap<>();
     private final Map<String, Leg> establishedLegs = new HashMap<>();
@@ -81,7 +81,7 @@
      * @param reconnects how new connections are paced
      */
     public JsonlFront(Loop loop, List<CallClass> classes, IntSupplier maxConnections, Consumer<Event> planner,
-            BooleanSupplier ready, ReconnectFigures reconnects, Metrics metrics) {
+            BooleanSupplier ready, ReconnectParameters reconnects, Metrics metrics) {
         this.reconnects = reconnects;
         this.loop = loop;
         this.orphanedReleases = new OrphanedReleases(loop, this::write);
@@ -104,7 +104,7 @@
                     }
                 });
         if (reconnects.paced()) {
-            server.handler(new Newcomers(loop, "caller", reconnects, metrics));
+            server.handler(new AcceptThrottle(loop, "caller", reconnects, metrics));
         }
         ChannelFuture bound = server.bind(address);
         listener = bound.channel();
@@ -143,7 +143,7 @@
 
     private void closeWhere(Predicate<ConnectionCalls> unused) {
         connections.entrySet().stream()
-                .filter(e -> unused.test(e.getValue()) && !MessageHandler.busy(e.getKey()))
+                .filter(e -> unused.test(e.getValue()) && !MessageHandler.hasPendingData(e.getKey()))
                 .map(Map.Entry::getKey).toList()
                 .forEach(c -> MessageHandler.close(c, CloseReason.SHUTDOWN));
     }
@@ -163,22 +163,22 @@
     private boolean idle(Channel channel) {
         ConnectionCalls calls = connections.get(channel);
         return calls != null && calls.pending.isEmpty() && calls.establishedCount == 0
-                && !MessageHandler.busy(channel);
+                && !MessageHandler.hasPendingData(channel);
     }
 
     /** Callers may write slowly, but an incomplete message must lead to a close within 3 s of connecting. */
     @Override
-    public long longestPause() {
+    public long maxPauseMillis() {
         return MAX_PAUSE_MS;
     }
 
     @Override
-    public int mostPauses() {
+    public int maxPauses() {
         return MAX_PAUSES;
     }
 
     @Override
-    public boolean owes(Channel channel) {
+    public boolean hasPendingReply(Channel channel) {
         ConnectionCalls calls = connections.get(channel);
         return calls != null && !calls.pending.isEmpty();
     }
@@ -188,7 +188,7 @@
         admission.ended(channel);
         ConnectionCalls calls = connections.remove(channel);
         for (Leg leg : calls == null ? List.<Leg>of() : calls.pending.values()) {
-            post(new Event.GivenUp(leg.id, leg));
+            post(new Event.CallerAbandoned(leg.id, leg));
         }
         orphanedReleases.removeConnection(channel, reason);
     }
@@ -206,34 +206,34 @@
 
     private void post(Event event) {
         planner.accept(event);
-        loop.wantTurn();
+        loop.requestTurn();
     }
 
     // Messages from callers.
 
     @Override
-    public void received(Channel channel, Map<?, ?> message) throws BadInput {
-        admission.heard(channel);
+    public void received(Channel channel, Map<?, ?> message) throws InvalidInputException {
+        admission.messageReceived(channel);
         orphanedReleases.markActive(channel);
         String call = text(message, "call");
         switch (text(message, "op")) {
             case "offer" -> offer(channel, call, message);
             case "end" -> {
-                int cause = message.get("why") instanceof Double d ? d.intValue() : Planner.NORMAL;
+                int cause = message.get("why") instanceof Double d ? d.intValue() : Planner.CAUSE_NORMAL_CLEARING;
                 Leg leg = connections.get(channel).pending.remove(call);
                 removeEstablished(establishedLegs.get(call));
-                post(leg == null ? new Event.CallerEnded(call, cause) : new Event.GivenUp(call, leg));
-                if (cause != Planner.NORMAL) {
+                post(leg == null ? new Event.CallerReleased(call, cause) : new Event.CallerAbandoned(call, leg));
+                if (cause != Planner.CAUSE_NORMAL_CLEARING) {
                     write(channel, line("ended", call, "", -1, null));
                 }
             }
             case "test" -> write(channel, line("tested", call, "", ready.getAsBoolean() ? 1 : 0, null));
             case "ringing", "accept", "ended", "tested", "group" -> metrics.count("taken.free");
-            default -> throw new BadInput("JSON lines: unknown op");
+            default -> throw new InvalidInputException("JSON lines: unknown op");
         }
     }
 
-    private void offer(Channel channel, String call, Map<?, ?> message) throws BadInput {
+    private void offer(Channel channel, String call, Map<?, ?> message) throws InvalidInputException {
         Map<?, ?> with = message.get("with") instanceof Map<?, ?> map ? map : Map.of();
         Leg leg = new Leg(call, channel);
         int callClass = classOf(text(with, "class"));
@@ -248,7 +248,7 @@
         }
         // Answers to two set-ups with the same id on one connection could not be distinguished.
         if (connections.get(channel).pending.putIfAbsent(call, leg) != null) {
-            throw new BadInput("JSON lines: duplicate id of a pending call");
+            throw new InvalidInputException("JSON lines: duplicate id of a pending call");
         }
         orphanedReleases.callOffered(channel);
         post(new Event.Offered(new Request(call, text(with, "class"), callClass, text(with, "key"),
@@ -317,7 +317,7 @@
 
     /** Notifies a caller of the release of a call that this process has not set up. */
     @Override
-    public void over(String call, int cause) {
+    public void onEnded(String call, int cause) {
         orphanedReleases.send(call, releaseLine(call, cause));
     }
 
@@ -331,7 +331,7 @@
 
     private void write(Channel channel, String line) {
         MessageHandler.write(channel, Unpooled.wrappedBuffer(line.getBytes(StandardCharsets.ISO_8859_1)));
-        loop.touch(channel);
+        loop.flushAfterTurn(channel);
     }
 
     /** The calls of a connection: those that await a final answer, and the number of established ones. */
@@ -359,7 +359,7 @@
         }
 
         @Override
-        public void stands(byte[] description) {
+        public void onEstablished(byte[] description) {
             ConnectionCalls calls = connections.get(channel);
             if (calls != null) {
                 calls.establishedCount++;
@@ -370,22 +370,22 @@
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRefused(long wait) {
             answer(line("end", id, wait > 0 ? "\"wait\":\"" + (wait + 999) / 1_000 + "\"" : "", REFUSED_CAUSE, null));
         }
 
         @Override
-        public void failed() {
-            answer(line("end", id, "", Planner.CUT, null));
+        public void onFailed() {
+            answer(line("end", id, "", Planner.CAUSE_TEMPORARY_FAILURE, null));
         }
 
         @Override
-        public void givenUp() {
-            answer(line("end", id, "", Planner.NORMAL, null));
+        public void onAbandoned() {
+            answer(line("end", id, "", Planner.CAUSE_NORMAL_CLEARING, null));
         }
 
         @Override
-        public void over(int cause) {
+        public void onEnded(int cause) {
             JsonlFront.this.removeEstablished(establishedLegs.get(id));
             if (isConnected(channel)) {
                 CALLS.debug("{} release sent to its caller {}", id, channel.remoteAddress());
@@ -397,7 +397,7 @@
 
         /** A call of this protocol is bound neither to a connection nor to the process that set it up. */
         @Override
-        public boolean outlivesRestart() {
+        public boolean survivesRestart() {
             return true;
         }
     }
--- a/src/main/java/wingspread/front/sip/SipFront.java
+++ b/src/main/java/wingspread/front/sip/SipFront.java
@@ -89,7 +89,7 @@
         for (Leg leg : List.copyOf(pending.values())) {
             if (leg.invite.peer() == peer) {
                 pending.remove(leg.invite);
-                planner.accept(new Event.GivenUp(leg.id, leg));
+                planner.accept(new Event.CallerAbandoned(leg.id, leg));
             }
         }
     }
@@ -134,7 +134,7 @@
                 case "BYE" -> {
                     transaction.respond(request.reply(200, "OK"));
                     leg.endDialog();
-                    planner.accept(new Event.CallerEnded(leg.id, cause(request)));
+                    planner.accept(new Event.CallerReleased(leg.id, cause(request)));
                 }
                 case "OPTIONS" -> transaction.respond(request.reply(200, "OK").with("Allow", ALLOW));
                 case "INVITE" -> transaction.respond(request.reply(488, "Not Acceptable Here"));
@@ -146,7 +146,7 @@
     private static int cause(SipMessage request) {
         String cause = SipMessage.parameter(request.header("Reason"), "cause");
         long value = cause == null ? -1 : SipMessage.number(cause);
-        return value < 0 || value > 127 ? Planner.NORMAL : (int) value;
+        return value < 0 || value > 127 ? Planner.CAUSE_NORMAL_CLEARING : (int) value;
     }
 
     private void handleInvite(ServerTransaction transaction) {
@@ -228,7 +228,7 @@
         Leg leg = pending.remove(invite);
         if (leg != null) {
             invite.respond(leg.tagged(invite.request().reply(487, "Request Terminated")));
-            planner.accept(new Event.GivenUp(leg.id, leg));
+            planner.accept(new Event.CallerAbandoned(leg.id, leg));
         }
     }
 
@@ -270,7 +270,7 @@
         }
 
         @Override
-        public void stands(byte[] description) {
+        public void onEstablished(byte[] description) {
             pending.remove(invite);
             SipMessage request = invite.request();
             SipMessage ok = tagged(request.reply(200, "OK")).with("Contact", contact()).with("Allow", ALLOW);
@@ -291,27 +291,27 @@
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRefused(long wait) {
             pending.remove(invite);
             invite.respond(tagged(invite.request().reply(503, "Service Unavailable"))
                     .with("Retry-After", Long.toString(Math.max(1, (wait + SECOND_MICROS - 1) / SECOND_MICROS))));
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             pending.remove(invite);
             invite.respond(tagged(invite.request().reply(480, "Temporarily Unavailable")));
         }
 
         @Override
-        public void over(int cause) {
+        public void onEnded(int cause) {
             releaseCause = cause;
             sendByeIfReleased();
         }
 
         /** A dialog ends with the process that holds its tags and sequence numbers. */
         @Override
-        public boolean outlivesRestart() {
+        public boolean survivesRestart() {
             return false;
         }
 
@@ -334,7 +334,7 @@
             releaseCause = wasEstablished ? NO_ACK_CAUSE : releaseCause;
             sendBye();
             if (wasEstablished) {
-                planner.accept(new Event.CallerEnded(id, NO_ACK_CAUSE));
+                planner.accept(new Event.CallerReleased(id, NO_ACK_CAUSE));
             }
         }
 
--- a/src/main/java/wingspread/front/sip/SipListener.java
+++ b/src/main/java/wingspread/front/sip/SipListener.java
@@ -22,29 +22,29 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wingspread.net.Admission;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.CloseReason;
 import wingspread.net.DatagramHandler;
 import wingspread.net.FrameDecoder;
 import wingspread.net.Loop;
 import wingspread.net.MessageHandler;
-import wingspread.net.Newcomers;
+import wingspread.net.AcceptThrottle;
 import wingspread.metrics.Metrics;
 import wingspread.sip.Peer;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
 import wingspread.sip.Timers;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /** The sockets of the SIP front end: UDP, and TCP with or without TLS. */
-public final class SipListener implements MessageHandler.Owner<SipMessage> {
+public final class SipListener implements MessageHandler.Listener<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger(SipListener.class);
     private static final int DEFAULT_PORT = 5060;
     private static final int MAX_CONNECTIONS = 128;
 
     private final Loop loop;
     private final SipFront front;
-    private final ReconnectFigures reconnects;
+    private final ReconnectParameters reconnects;
     private final Metrics metrics;
     private final Admission admission;
     private final Map<Channel, StreamPeer> streams = new HashMap<>();
@@ -55,7 +55,7 @@
      *
      * @param reconnects how new connections are paced
      */
-    public SipListener(Loop loop, SipFront front, ReconnectFigures reconnects, Metrics metrics) {
+    public SipListener(Loop loop, SipFront front, ReconnectParameters reconnects, Metrics metrics) {
         this.loop = loop;
         this.reconnects = reconnects;
         this.metrics = metrics;
@@ -82,8 +82,8 @@
      */
     public ChannelFuture listenTcp(InetSocketAddress address, Supplier<SslHandler> security) {
         String transport = security == null ? "TCP" : "TLS";
-        Newcomers acceptThrottle = reconnects.paced()
-                ? new Newcomers(loop, "SIP " + transport, reconnects, metrics) : null;
+        AcceptThrottle acceptThrottle = reconnects.paced()
+                ? new AcceptThrottle(loop, "SIP " + transport, reconnects, metrics) : null;
         ServerBootstrap server = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -92,7 +92,7 @@
                         if (security != null) {
                             SslHandler handshake = security.get();
                             if (acceptThrottle != null) {
-                                acceptThrottle.meter(channel, handshake);
+                                acceptThrottle.meterHandshake(channel, handshake);
                             }
                             channel.pipeline().addLast(handshake);
                         }
@@ -123,9 +123,9 @@
     public void received(Channel channel, SipMessage message) {
         StreamPeer peer = streams.get(channel);
         if (peer != null) {
-            admission.heard(channel);
+            admission.messageReceived(channel);
             front.received(message, peer);
-            loop.wantTurn();
+            loop.requestTurn();
         }
     }
 
@@ -135,7 +135,7 @@
         StreamPeer peer = streams.remove(channel);
         if (peer != null) {
             front.peerDisconnected(peer);
-            loop.wantTurn();
+            loop.requestTurn();
         }
     }
 
@@ -157,11 +157,11 @@
         return literal && port > 0 && port < 1 << 16 ? new InetSocketAddress(host, (int) port) : null;
     }
 
-    private void handleDatagram(Channel channel, byte[] bytes, InetSocketAddress sender) throws BadInput {
+    private void handleDatagram(Channel channel, byte[] bytes, InetSocketAddress sender) throws InvalidInputException {
         SipMessage message = SipDecoder.datagram(bytes);
         InetSocketAddress responseAddress = message.isRequest() ? recordSource(message, sender) : sender;
         front.received(message, new DatagramPeer(channel, responseAddress));
-        loop.wantTurn();
+        loop.requestTurn();
     }
 
     /**
@@ -200,7 +200,7 @@
         @Override
         public void send(SipMessage message) {
             channel.write(new DatagramPacket(message.encode(), address), channel.voidPromise());
-            loop.touch(channel);
+            loop.flushAfterTurn(channel);
         }
 
         @Override
@@ -238,7 +238,7 @@
         public void send(SipMessage message) {
             if (channel.isActive()) {
                 MessageHandler.write(channel, message.encode());
-                loop.touch(channel);
+                loop.flushAfterTurn(channel);
             } else if (contact != null && transport.equals("TCP")) {
                 reconnect(message);
             }
--- a/src/main/java/wingspread/json/Json.java
+++ b/src/main/java/wingspread/json/Json.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /**
  * Parses and writes JSON (RFC 8259) as bytes. Strings hold one char per byte, so that text of any encoding passes
@@ -25,9 +25,9 @@
     /**
      * Parses one value: a {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} or null.
      *
-     * @throws BadInput if the text is not exactly one JSON value
+     * @throws InvalidInputException if the text is not exactly one JSON value
      */
-    public static Object parse(byte[] text) throws BadInput {
+    public static Object parse(byte[] text) throws InvalidInputException {
         Json json = new Json(text);
         Object value = json.value();
         json.skipWhitespace();
@@ -59,7 +59,7 @@
         out.append('"');
     }
 
-    private Object value() throws BadInput {
+    private Object value() throws InvalidInputException {
         skipWhitespace();
         return switch (peek()) {
             case '{' -> object();
@@ -72,7 +72,7 @@
         };
     }
 
-    private Map<String, Object> object() throws BadInput {
+    private Map<String, Object> object() throws InvalidInputException {
         Map<String, Object> out = new LinkedHashMap<>();
         enter();
         if (consumeEnd('}')) {
@@ -94,7 +94,7 @@
         return out;
     }
 
-    private List<Object> array() throws BadInput {
+    private List<Object> array() throws InvalidInputException {
         List<Object> out = new ArrayList<>();
         enter();
         if (consumeEnd(']')) {
@@ -107,14 +107,14 @@
     }
 
     /** Enters an object or array. Limits the depth, as deeper nesting could exhaust the stack. */
-    private void enter() throws BadInput {
+    private void enter() throws InvalidInputException {
         position++;
         if (++depth > MAX_DEPTH) {
             throw error("nesting too deep");
         }
     }
 
-    private boolean consumeEnd(char end) throws BadInput {
+    private boolean consumeEnd(char end) throws InvalidInputException {
         skipWhitespace();
         if (peek() != end) {
             return false;
@@ -124,7 +124,7 @@
         return true;
     }
 
-    private boolean hasNextElement(char end) throws BadInput {
+    private boolean hasNextElement(char end) throws InvalidInputException {
         if (consumeEnd(end)) {
             return false;
         }
@@ -132,7 +132,7 @@
         return true;
     }
 
-    private String string() throws BadInput {
+    private String string() throws InvalidInputException {
         StringBuilder out = new StringBuilder();
         position++;
         while (true) {
@@ -152,7 +152,7 @@
         }
     }
 
-    private void escape(StringBuilder out) throws BadInput {
+    private void escape(StringBuilder out) throws InvalidInputException {
         int c = peek();
         position++;
         switch (c) {
@@ -167,7 +167,7 @@
         }
     }
 
-    private void unicode(StringBuilder out) throws BadInput {
+    private void unicode(StringBuilder out) throws InvalidInputException {
         int point = hex4();
         if (Character.isHighSurrogate((char) point) && position + 1 < text.length && text[position] == '\\'
                 && text[position + 1] == 'u') {
@@ -184,7 +184,7 @@
         out.append(new String(utf8, StandardCharsets.ISO_8859_1));
     }
 
-    private int hex4() throws BadInput {
+    private int hex4() throws InvalidInputException {
         int out = 0;
         for (int i = 0; i < 4; i++) {
             int digit = Character.digit(peek(), 16);
@@ -197,7 +197,7 @@
         return out;
     }
 
-    private Double number() throws BadInput {
+    private Double number() throws InvalidInputException {
         int start = position;
         while (position < text.length && "+-.eE0123456789".indexOf(text[position]) >= 0) {
             position++;
@@ -209,21 +209,21 @@
         }
     }
 
-    private Object literal(String literal, Object value) throws BadInput {
+    private Object literal(String literal, Object value) throws InvalidInputException {
         for (int i = 0; i < literal.length(); i++) {
             expect(literal.charAt(i));
         }
         return value;
     }
 
-    private void expect(char c) throws BadInput {
+    private void expect(char c) throws InvalidInputException {
         if (peek() != c) {
             throw error("expected '" + c + "'");
         }
         position++;
     }
 
-    private int peek() throws BadInput {
+    private int peek() throws InvalidInputException {
         if (position >= text.length) {
             throw error("unexpected end of input");
         }
@@ -236,7 +236,7 @@
         }
     }
 
-    private BadInput error(String problem) {
-        return new BadInput("JSON: " + problem + " at byte " + position);
+    private InvalidInputException error(String problem) {
+        return new InvalidInputException("JSON: " + problem + " at byte " + position);
     }
 }
--- a/src/main/java/wingspread/json/LineDecoder.java
+++ b/src/main/java/wingspread/json/LineDecoder.java
@@ -2,27 +2,27 @@
 
 import java.util.Arrays;
 import java.util.Map;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.FrameDecoder;
 
 /** Decodes a stream of lines, each of which is one JSON object. */
 public final class LineDecoder implements FrameDecoder<Map<?, ?>> {
     @Override
-    public Step<Map<?, ?>> next(byte[] bytes, int from, int to) throws BadInput {
+    public DecodeResult<Map<?, ?>> next(byte[] bytes, int from, int to) throws InvalidInputException {
         int end = from;
         while (end < to && bytes[end] != '\n') {
             end++;
         }
         // Without this limit, a line without an end would be buffered forever.
         if (end - from > MAX_FRAME) {
-            throw new BadInput("JSON lines: line longer than " + MAX_FRAME + " bytes");
+            throw new InvalidInputException("JSON lines: line longer than " + MAX_FRAME + " bytes");
         }
         if (end == to) {
-            return new Step<>(null, 0);
+            return new DecodeResult<>(null, 0);
         }
         if (Json.parse(Arrays.copyOfRange(bytes, from, end)) instanceof Map<?, ?> message) {
-            return new Step<>(message, end + 1 - from);
+            return new DecodeResult<>(message, end + 1 - from);
         }
-        throw new BadInput("JSON lines: line is not a JSON object");
+        throw new InvalidInputException("JSON lines: line is not a JSON object");
     }
 }
--- a/src/main/java/wingspread/lab/compare/Setting.java
+++ b/src/main/java/wingspread/lab/compare/Setting.java
@@ -5,15 +5,15 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
-import wingspread.control.Figures;
-import wingspread.control.NamedFigures.Figure;
-import wingspread.control.NamedFigures.Unit;
+import wingspread.control.ControlParameters;
+import wingspread.control.NamedParameters.Parameter;
+import wingspread.control.NamedParameters.Unit;
 import wingspread.toml.Duration;
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
 /** A setting of the module: the usual figures, but for those that a file or a line gives otherwise. */
-public record Setting(String name, Figures figures) {
+public record Setting(String name, ControlParameters figures) {
     private static final String SCHEMA = "/wingspread/lab/setting.schema.json";
     private static final String USUAL = "usual";
 
@@ -24,7 +24,7 @@
      */
     public static Setting named(String text) {
         if (text.equals(USUAL)) {
-            return new Setting(USUAL, Figures.USUAL);
+            return new Setting(USUAL, ControlParameters.DEFAULTS);
         }
         if (!text.contains("=")) {
             return of(text, TomlFile.read(Path.of(text), SCHEMA));
@@ -40,7 +40,7 @@
         Map<String, Double> given = new HashMap<>();
         tree.path("figures").properties().forEach(entry -> given.put(entry.getKey(), value(name, entry)));
         try {
-            return new Setting(name, new Figures(given));
+            return new Setting(name, new ControlParameters(given));
         } catch (IllegalArgumentException e) {
             throw new TomlException(name + ": " + e.getMessage());
         }
@@ -48,7 +48,8 @@
 
     /** Times are told with their unit, all else without one. */
     private static double value(String name, Map.Entry<String, JsonNode> entry) {
-        boolean isTime = Figures.USUAL.all().stream().filter(f -> f.name().equals(entry.getKey())).map(Figure::unit)
+        boolean isTime = ControlParameters.DEFAULTS.all().stream()
+                .filter(f -> f.name().equals(entry.getKey())).map(Parameter::unit)
                 .anyMatch(Unit.MICROSECONDS::equals);
         if (isTime != entry.getValue().isTextual()) {
             throw new TomlException(name + ": figures." + entry.getKey() + " = " + entry.getValue() + "; "
--- a/src/main/java/wingspread/lab/host/Controller.java
+++ b/src/main/java/wingspread/lab/host/Controller.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 import wingspread.control.CallControl.Settings;
 import wingspread.core.Event;
-import wingspread.core.Exchanges;
+import wingspread.core.ExchangeTransport;
 import wingspread.turn.Worker;
 
 /** A softswitch's calls and decisions, as the model hosts them. */
@@ -14,6 +14,6 @@
     /** Makes the softswitch of one exchange. */
     @FunctionalInterface
     interface Maker {
-        Controller make(LongSupplier clock, Settings settings, long seed, Exchanges exchanges);
+        Controller make(LongSupplier clock, Settings settings, long seed, ExchangeTransport exchanges);
     }
 }
--- a/src/main/java/wingspread/lab/host/Happening.java
+++ b/src/main/java/wingspread/lab/host/Happening.java
@@ -16,12 +16,12 @@
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({@JsonSubTypes.Type(value = Happening.Offered.class, name = "offered"),
-    @JsonSubTypes.Type(value = Happening.GivenUp.class, name = "given-up"),
-    @JsonSubTypes.Type(value = Happening.CallerEnded.class, name = "caller-ended"),
+    @JsonSubTypes.Type(value = Happening.CallerAbandoned.class, name = "given-up"),
+    @JsonSubTypes.Type(value = Happening.CallerReleased.class, name = "caller-ended"),
     @JsonSubTypes.Type(value = Happening.Answered.class, name = "answered"),
     @JsonSubTypes.Type(value = Happening.Rejected.class, name = "rejected"),
     @JsonSubTypes.Type(value = Happening.Released.class, name = "released"),
-    @JsonSubTypes.Type(value = Happening.Broken.class, name = "broken"),
+    @JsonSubTypes.Type(value = Happening.AttemptAborted.class, name = "broken"),
     @JsonSubTypes.Type(value = Happening.Reported.class, name = "reported"),
     @JsonSubTypes.Type(value = Happening.Listed.class, name = "listed")})
 public sealed interface Happening {
@@ -29,10 +29,10 @@
     record Offered(Request request) implements Happening { }
 
     /** A caller waits no longer. */
-    record GivenUp(String call) implements Happening { }
+    record CallerAbandoned(String call) implements Happening { }
 
     /** A caller released a call that stands. */
-    record CallerEnded(String call, int cause) implements Happening { }
+    record CallerReleased(String call, int cause) implements Happening { }
 
     /** An exchange says that the call stands. */
     record Answered(long exchange, String call) implements Happening { }
@@ -44,7 +44,7 @@
     record Released(long exchange, String call, int cause, Report report) implements Happening { }
 
     /** The call's attempt of this number ended on this side. */
-    record Broken(String call, int attempt, Status status) implements Happening { }
+    record AttemptAborted(String call, int attempt, Status status) implements Happening { }
 
     /** The free circuits toward an exchange have changed. */
     record Reported(long exchange, Report report) implements Happening { }
--- a/src/main/java/wingspread/lab/host/HostLoop.java
+++ b/src/main/java/wingspread/lab/host/HostLoop.java
@@ -8,7 +8,7 @@
 import java.io.OutputStream;
 import java.util.List;
 import java.util.function.Function;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.host.Wire.Answer;
 
 /** A host of softswitches for a driver at the other end of two streams; it ends when the driver does. */
@@ -16,12 +16,12 @@
     private static final String NAME = "wingspread-lab-host";
 
     private final String program;
-    private final Function<Figures, Softswitches> maker;
+    private final Function<ControlParameters, Softswitches> maker;
     private Softswitches softswitches;
     private int places;
 
     /** A host that tells its program's version and makes fleets by this maker. */
-    public HostLoop(String program, Function<Figures, Softswitches> maker) {
+    public HostLoop(String program, Function<ControlParameters, Softswitches> maker) {
         this.program = program;
         this.maker = maker;
     }
@@ -48,7 +48,7 @@
                 return new Answer("a softswitch without settings", List.of());
             }
             try {
-                softswitches = maker.apply(new Figures(begin.figures()));
+                softswitches = maker.apply(new ControlParameters(begin.figures()));
             } catch (IllegalArgumentException e) {
                 return new Answer(e.getMessage(), List.of());
             }
--- a/src/main/java/wingspread/lab/host/LocalSoftswitches.java
+++ b/src/main/java/wingspread/lab/host/LocalSoftswitches.java
@@ -8,7 +8,7 @@
 import wingspread.core.Attempt;
 import wingspread.core.Caller;
 import wingspread.core.Event;
-import wingspread.core.Exchanges;
+import wingspread.core.ExchangeTransport;
 
 /** Softswitches in this process. It only carries to and fro: what is decided is the controllers'. */
 public final class LocalSoftswitches implements Softswitches {
@@ -45,7 +45,7 @@
     }
 
     /** One softswitch: names become references on the way in, and references names on the way out. */
-    private final class One implements Exchanges {
+    private final class One implements ExchangeTransport {
         private final Map<String, Side> sides = new HashMap<>();
         private Controller controller;
         private List<Effect> effects = new ArrayList<>();
@@ -62,25 +62,25 @@
                 Side side = new Side(this, h.request().id());
                 sides.put(side.call, side);
                 controller.post(new Event.Offered(h.request(), side));
-            } else if (happening instanceof Happening.GivenUp h) {
+            } else if (happening instanceof Happening.CallerAbandoned h) {
                 Side side = sides.get(h.call());
                 if (side != null) {
-                    controller.post(new Event.GivenUp(h.call(), side));
+                    controller.post(new Event.CallerAbandoned(h.call(), side));
                     sides.remove(h.call());
                 }
-            } else if (happening instanceof Happening.CallerEnded h) {
+            } else if (happening instanceof Happening.CallerReleased h) {
                 sides.remove(h.call());
-                controller.post(new Event.CallerEnded(h.call(), h.cause()));
+                controller.post(new Event.CallerReleased(h.call(), h.cause()));
             } else if (happening instanceof Happening.Answered h) {
                 controller.post(new Event.Answered(h.exchange(), h.call(), DESCRIPTION));
             } else if (happening instanceof Happening.Rejected h) {
                 controller.post(new Event.Rejected(h.exchange(), h.call(), h.status(), h.cause(), h.report()));
             } else if (happening instanceof Happening.Released h) {
                 controller.post(new Event.Released(h.exchange(), h.call(), h.cause(), h.report()));
-            } else if (happening instanceof Happening.Broken h) {
+            } else if (happening instanceof Happening.AttemptAborted h) {
                 Side side = sides.get(h.call());
                 if (side != null && side.last != null && side.last.index() == h.attempt()) {
-                    controller.post(new Event.Broken(side.last, h.status()));
+                    controller.post(new Event.AttemptAborted(side.last, h.status()));
                 }
             } else if (happening instanceof Happening.Reported h) {
                 controller.post(new Event.Reported(h.exchange(), h.report()));
@@ -100,7 +100,7 @@
         }
 
         @Override
-        public void withdraw(Attempt attempt) {
+        public void cancelAttempt(Attempt attempt) {
             effects.add(new Effect.Withdraw(attempt.request().id(), attempt.index(),
                     attempt.deadline() <= now ? Status.TIMEOUT : Status.CANCELLED));
         }
@@ -116,12 +116,12 @@
         }
 
         @Override
-        public boolean mayFallSilent() {
+        public boolean needsLivenessChecks() {
             return false;
         }
 
         @Override
-        public boolean check(long exchange) {
+        public boolean checkLiveness(long exchange) {
             return false;
         }
     }
@@ -138,30 +138,30 @@
         }
 
         @Override
-        public void stands(byte[] description) {
+        public void onEstablished(byte[] description) {
             one.effects.add(new Effect.Stands(call));
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRefused(long wait) {
             one.sides.remove(call);
             one.effects.add(new Effect.Refused(call, wait));
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             one.sides.remove(call);
             one.effects.add(new Effect.Failed(call));
         }
 
         @Override
-        public void over(int cause) {
+        public void onEnded(int cause) {
             one.sides.remove(call);
             one.effects.add(new Effect.Over(call, cause));
         }
 
         @Override
-        public boolean outlivesRestart() {
+        public boolean survivesRestart() {
             return true;
         }
     }
--- a/src/main/java/wingspread/lab/host/PlannerController.java
+++ b/src/main/java/wingspread/lab/host/PlannerController.java
@@ -1,11 +1,11 @@
 package wingspread.lab.host;
 
 import java.util.function.Supplier;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.core.Event;
 import wingspread.core.Planner;
 import wingspread.metrics.Metrics;
-import wingspread.storm.StormFigures;
+import wingspread.storm.StormParameters;
 
 /** The program's own planner with its module, unchanged. */
 public final class PlannerController implements Controller {
@@ -18,17 +18,17 @@
     }
 
     /** Makes planners whose modules decide by these figures. */
-    public static Maker with(Figures figures) {
+    public static Maker with(ControlParameters figures) {
         return with(figures, null);
     }
 
     /** The same, with a gate against storms of redials by these figures; null for none. */
-    public static Maker with(Figures figures, StormFigures storm) {
+    public static Maker with(ControlParameters figures, StormParameters storm) {
         return with(figures, storm, Metrics::new);
     }
 
     /** The same, each with counters of its own, which are asked for on the thread that plays the replication. */
-    public static Maker with(Figures figures, StormFigures storm, Supplier<Metrics> counters) {
+    public static Maker with(ControlParameters figures, StormParameters storm, Supplier<Metrics> counters) {
         return (clock, settings, seed, exchanges) -> new PlannerController(new Planner(clock, settings, figures, seed,
                 MOST_CALLS, exchanges, (call, cause) -> { }, counters.get(), storm));
     }
--- a/src/main/java/wingspread/lab/host/RemoteSoftswitches.java
+++ b/src/main/java/wingspread/lab/host/RemoteSoftswitches.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 
 /**
  * Softswitches of another built jar of this program, run as a process of its own. The model of the network stays
@@ -41,12 +41,12 @@
     private volatile boolean killed;
 
     /** Speaks with a host at the other end of two streams; {@code kill} ends it. */
-    RemoteSoftswitches(String name, Figures figures, InputStream in, OutputStream out, Runnable kill) {
+    RemoteSoftswitches(String name, ControlParameters figures, InputStream in, OutputStream out, Runnable kill) {
         this.name = name;
         this.kill = kill;
         this.out = out;
         // What was given is sent, and all of it: another version may lack a figure, or have another usual value.
-        this.figures = figures.given();
+        this.figures = figures.overrides();
         try {
             JsonParser parser = Wire.reading(mapper, in);
             Wire.Hello hello = watched(() -> parser.readValueAs(Wire.Hello.class));
@@ -67,7 +67,7 @@
      *
      * @throws HostException where the jar is missing, or speaks another version of the interface
      */
-    public static RemoteSoftswitches start(Path jar, Figures figures) {
+    public static RemoteSoftswitches start(Path jar, ControlParameters figures) {
         if (!Files.isRegularFile(jar)) {
             throw new HostException(jar + " is no jar of this program");
         }
--- a/src/main/java/wingspread/lab/sim/VirtualTime.java
+++ b/src/main/java/wingspread/lab/sim/VirtualTime.java
@@ -34,7 +34,7 @@
         while (agenda.next() <= end) {
             now = agenda.next();
             happened++;
-            agenda.playOne();
+            agenda.runNext();
         }
         now = end;
     }
--- a/src/main/java/wingspread/lab/world/Network.java
+++ b/src/main/java/wingspread/lab/world/Network.java
@@ -257,7 +257,7 @@
         if (!leg.over) {
             rules.ended(leg.offer.taken, Status.CONNECT_FAILED, now());
             end(leg);
-            leg.from.post(new Happening.Broken(leg.call(), leg.attempt.attempt(), Status.CONNECT_FAILED));
+            leg.from.post(new Happening.AttemptAborted(leg.call(), leg.attempt.attempt(), Status.CONNECT_FAILED));
         }
     }
 
@@ -277,7 +277,7 @@
             }
         });
         leg.from.forgetIfDone(leg.offer);
-        onward(leg, () -> leg.to.post(new Happening.GivenUp(leg.call())));
+        onward(leg, () -> leg.to.post(new Happening.CallerAbandoned(leg.call())));
     }
 
     // Ends of calls that stand.
@@ -285,7 +285,7 @@
     /** The caller's time on the line is over: the far end releases. */
     void hangUp(Leg first) {
         Leg last = first.onward != null && first.onward.leg != null ? first.onward.leg : first;
-        last.to.processor.answer(work(day.work().follow()), () -> releaseBack(last, Planner.NORMAL));
+        last.to.processor.answer(work(day.work().follow()), () -> releaseBack(last, Planner.CAUSE_NORMAL_CLEARING));
     }
 
     /** The far side of a leg has released; its sender hears so. */
@@ -306,7 +306,7 @@
         if (!leg.over) {
             end(leg);
             leg.to.processor.answer(work(day.work().follow()), () -> { });
-            onward(leg, () -> leg.to.post(new Happening.CallerEnded(leg.call(), cause)));
+            onward(leg, () -> leg.to.post(new Happening.CallerReleased(leg.call(), cause)));
         }
     }
 
@@ -316,11 +316,11 @@
             leg.group.release(leg);
             changed(leg);
         } else if (leg.standing) {
-            released(leg, Planner.CUT);
-            onward(leg, () -> leg.to.post(new Happening.CallerEnded(leg.call(), Planner.CUT)));
+            released(leg, Planner.CAUSE_TEMPORARY_FAILURE);
+            onward(leg, () -> leg.to.post(new Happening.CallerReleased(leg.call(), Planner.CAUSE_TEMPORARY_FAILURE)));
         } else {
             refused(leg, Status.RESET, Cause.NONE);
-            onward(leg, () -> leg.to.post(new Happening.GivenUp(leg.call())));
+            onward(leg, () -> leg.to.post(new Happening.CallerAbandoned(leg.call())));
         }
     }
 
--- a/src/main/java/wingspread/lab/world/Subscriber.java
+++ b/src/main/java/wingspread/lab/world/Subscriber.java
@@ -107,7 +107,7 @@
                 network.rules().givenUp(taken);
                 network.tally().gaveUp();
                 network.tally().wasted(network.work(network.day().work().look()));
-                at.post(new Happening.GivenUp(request.id()));
+                at.post(new Happening.CallerAbandoned(request.id()));
                 dialLater(0);
             }
         }
@@ -136,7 +136,7 @@
 
         @Override
         void ended(int cause) {
-            if (!gone && cause != Planner.NORMAL) {
+            if (!gone && cause != Planner.CAUSE_NORMAL_CLEARING) {
                 network.tally().cut(entry);
                 if (random.nextDouble() < network.day().callers().again()) {
                     aimAt = network.now() + kind.aim();
--- a/src/main/java/wingspread/link/Link.java
+++ b/src/main/java/wingspread/link/Link.java
@@ -23,7 +23,7 @@
 import wingspread.control.CallControl.Status;
 import wingspread.core.Attempt;
 import wingspread.core.Event;
-import wingspread.directory.Listing;
+import wingspread.directory.DirectoryEntry;
 import wingspread.net.CloseReason;
 import wingspread.net.Loop;
 import wingspread.net.MessageHandler;
@@ -37,7 +37,7 @@
  * replaced. At least one connection is kept open at all times, since the exchange reports the state of its group of
  * circuits and sends releases on it.
  */
-final class Link implements MessageHandler.Owner<SipMessage> {
+final class Link implements MessageHandler.Listener<SipMessage> {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
     private static final int MAX_CONNECTIONS = 4;
     /**
@@ -65,7 +65,7 @@
     private final ArrayDeque<Attempt> waitingAttempts = new ArrayDeque<>();
     private final ArrayDeque<SipMessage> unsentReleases = new ArrayDeque<>();
     private boolean connecting;
-    /** Connects in progress that {@link #check} started. */
+    /** Connects in progress that {@link #checkLiveness} started. */
     private int pendingChecks;
     private boolean reconnectScheduled;
     private boolean closed;
@@ -82,13 +82,13 @@
     private static final class Connection {
         /** Attempts that await their final response on this connection, by call id. */
         final Map<String, Attempt> attempts = new LinkedHashMap<>();
-        final long openedAt;
+        final long connectedAt;
         long lastReceivedAt;
         boolean hasReceived;
         boolean unresponsive;
 
         Connection(long now) {
-            openedAt = now;
+            connectedAt = now;
             lastReceivedAt = now;
         }
     }
@@ -106,7 +106,7 @@
     }
 
     /** Applies a new directory entry of the exchange and connects if there is no responsive connection. */
-    void update(Listing listing) {
+    void update(DirectoryEntry listing) {
         readiness = listing.exchange().readiness();
         if (!endpoint.equals(listing.endpoint())) {
             // The exchange has a new address; the old one may already belong to another exchange.
@@ -127,7 +127,7 @@
      */
     boolean startupComplete() {
         return stateReported || connectFailed || connections.values().stream()
-                .anyMatch(connection -> loop.now() - connection.openedAt >= Math.max(MIN_INITIAL_REPORT_WAIT_MICROS,
+                .anyMatch(connection -> loop.now() - connection.connectedAt >= Math.max(MIN_INITIAL_REPORT_WAIT_MICROS,
                         INITIAL_REPORT_CONNECT_TIMES * connectDurationMicros));
     }
 
@@ -145,7 +145,7 @@
     boolean idle() {
         return !connections.isEmpty() && waitingAttempts.isEmpty() && connections.entrySet().stream()
                 .allMatch(e -> e.getValue().attempts.isEmpty() && e.getKey().isActive()
-                        && !MessageHandler.busy(e.getKey()));
+                        && !MessageHandler.hasPendingData(e.getKey()));
     }
 
     /** Returns when a set-up was last sent, in microseconds since the Unix epoch; 0 if never. */
@@ -172,7 +172,7 @@
         if (channel != null) {
             send(channel, attempt);
         } else if (closed || waitingAttempts.size() >= MAX_WAITING_ATTEMPTS) {
-            events.accept(new Event.Broken(attempt, Status.CONNECT_FAILED));
+            events.accept(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED));
         } else {
             waitingAttempts.add(attempt);
             connect();
@@ -187,7 +187,7 @@
     }
 
     /** Cancels an attempt that has not been answered yet. */
-    void withdraw(Attempt attempt) {
+    void cancelAttempt(Attempt attempt) {
         if (waitingAttempts.remove(attempt)) {
             return;
         }
@@ -277,7 +277,7 @@
      *
      * @return false if no connection can be opened now
      */
-    boolean check() {
+    boolean checkLiveness() {
         if (closed || pendingChecks >= MAX_PENDING_CHECKS) {
             return false;
         }
@@ -329,7 +329,7 @@
             // A refused connect proves that the process is down, so its established calls are cut. A connect that is
             // reset or times out proves nothing, nor does a refusal while an unresponsive connection is still open: an
             // exchange that has reached its own limit of connections may also be slow.
-            events.accept(new Event.Died(exchangeNumber));
+            events.accept(new Event.ExchangeDown(exchangeNumber));
         }
         scheduleReconnect();
     }
@@ -363,8 +363,8 @@
             Attempt attempt = waitingAttempts.remove();
             // A draining exchange must not receive set-ups, and it may have begun to drain during the connect.
             if (readiness != Readiness.READY) {
-                events.accept(new Event.Broken(attempt, Status.CONNECT_FAILED));
-            } else if (attempt.out()) {
+                events.accept(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED));
+            } else if (attempt.isPending()) {
                 send(channel, attempt);
             }
         }
@@ -378,7 +378,7 @@
 
     private void failWaiting() {
         while (!waitingAttempts.isEmpty()) {
-            events.accept(new Event.Broken(waitingAttempts.remove(), Status.CONNECT_FAILED));
+            events.accept(new Event.AttemptAborted(waitingAttempts.remove(), Status.CONNECT_FAILED));
         }
     }
 
@@ -399,7 +399,7 @@
 
     private void write(Channel channel, SipMessage message) {
         MessageHandler.write(channel, message.encode());
-        loop.touch(channel);
+        loop.flushAfterTurn(channel);
     }
 
     @Override
@@ -410,7 +410,7 @@
         }
         links.releaseConnection();
         for (Attempt attempt : new ArrayList<>(connection.attempts.values())) {
-            events.accept(new Event.Broken(attempt, Status.RESET));
+            events.accept(new Event.AttemptAborted(attempt, Status.RESET));
         }
         if (!connections.isEmpty() || reason == CloseReason.MADE_ROOM) {
             return;
@@ -450,16 +450,16 @@
             case "NOTIFY" -> {
                 stateReported = true;
                 events.accept(new Event.Reported(exchangeNumber, report,
-                        first ? connection.openedAt : Event.Reported.UNSOLICITED));
+                        first ? connection.connectedAt : Event.Reported.UNSOLICITED));
             }
             case "BYE" -> {
                 write(channel, message.reply(200, "OK"));
                 events.accept(new Event.Released(exchangeNumber, message.callId(),
                         ExchangeMessages.releaseCause(message), report));
             }
-            case "ACK" -> events.accept(new Event.Heard(exchangeNumber));
+            case "ACK" -> events.accept(new Event.ExchangeAlive(exchangeNumber));
             default -> {
-                events.accept(new Event.Heard(exchangeNumber));
+                events.accept(new Event.ExchangeAlive(exchangeNumber));
                 write(channel, message.reply(405, "Method Not Allowed"));
             }
         }
@@ -467,7 +467,7 @@
 
     private void handleResponse(Channel channel, Connection connection, SipMessage message) {
         if (!message.cseqMethod().equals("INVITE") || message.status() < 200) {
-            events.accept(new Event.Heard(exchangeNumber));
+            events.accept(new Event.ExchangeAlive(exchangeNumber));
             return;
         }
         String call = message.callId();
--- a/src/main/java/wingspread/link/Links.java
+++ b/src/main/java/wingspread/link/Links.java
@@ -13,15 +13,15 @@
 import wingspread.control.CallControl.Status;
 import wingspread.core.Attempt;
 import wingspread.core.Event;
-import wingspread.core.Exchanges;
-import wingspread.directory.Listing;
+import wingspread.core.ExchangeTransport;
+import wingspread.directory.DirectoryEntry;
 import wingspread.net.CloseReason;
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /** The connections to all exchanges, by the number that the directory assigned to each exchange. */
-public final class Links implements Exchanges {
+public final class Links implements ExchangeTransport {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
 
     private final Loop loop;
@@ -29,11 +29,11 @@
     private final Metrics metrics;
     private final long connectTimeoutMicros;
     private final int ownExchangeIndex;
-    private final ReconnectFigures reconnectParameters;
+    private final ReconnectParameters reconnectParameters;
     private final RandomGenerator random;
     private final Map<Long, Link> links = new LinkedHashMap<>();
     private final IntSupplier maxConnections;
-    private int open;
+    private int openCount;
     private boolean limitReported;
 
     /**
@@ -47,7 +47,7 @@
      * @param events receives what happens on the connections
      */
     public Links(Loop loop, long connectTimeoutMicros, int ownExchangeIndex, IntSupplier maxConnections,
-            ReconnectFigures reconnectParameters, RandomGenerator random, Consumer<Event> events, Metrics metrics) {
+            ReconnectParameters reconnectParameters, RandomGenerator random, Consumer<Event> events, Metrics metrics) {
         this.maxConnections = maxConnections;
         this.reconnectParameters = reconnectParameters;
         this.random = random;
@@ -62,8 +62,8 @@
      * Applies changes of the directory. Opens a connection to each listed exchange before the first call to it, and
      * closes the connections to exchanges that have been removed.
      */
-    public void update(List<Listing> listings) {
-        for (Listing listing : listings) {
+    public void update(List<DirectoryEntry> listings) {
+        for (DirectoryEntry listing : listings) {
             if (listing.exchange().place() == ownExchangeIndex) {
                 continue;
             }
@@ -85,8 +85,8 @@
     }
 
     /** Returns the number of connections that are open or being opened. */
-    public int open() {
-        return open;
+    public int openCount() {
+        return openCount;
     }
 
     /**
@@ -98,13 +98,13 @@
      * @return whether the link may open a connection
      */
     boolean reserveConnection(boolean mayEvict) {
-        if (open >= maxConnections.getAsInt()) {
+        if (openCount >= maxConnections.getAsInt()) {
             Link idle = mayEvict ? links.values().stream().filter(Link::idle)
                     .min(Comparator.comparingLong(Link::lastUsedAt)).orElse(null) : null;
             if (!limitReported) {
                 limitReported = true;
                 LOG.warn("{}: limit reached with {} connections to exchanges; idle ones are evicted on demand",
-                        CloseReason.TOO_MANY, open);
+                        CloseReason.TOO_MANY, openCount);
             }
             if (idle == null) {
                 metrics.count("sent.connects-without-room");
@@ -112,22 +112,22 @@
             }
             idle.evict();
         }
-        open++;
+        openCount++;
         return true;
     }
 
     /** Gives back a reserved connection that has been closed or could not be opened. */
     void releaseConnection() {
-        open--;
+        openCount--;
     }
 
     private void post(Event event) {
         events.accept(event);
-        loop.wantTurn();
+        loop.requestTurn();
     }
 
     /** Whether start-up need not wait for any exchange any longer, as {@link Link#startupComplete} describes. */
-    public boolean settled() {
+    public boolean allStarted() {
         return links.values().stream().allMatch(Link::startupComplete);
     }
 
@@ -140,17 +140,17 @@
     public void invite(Attempt attempt) {
         Link link = links.get(attempt.exchange());
         if (link == null) {
-            post(new Event.Broken(attempt, Status.CONNECT_FAILED));
+            post(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED));
         } else {
             link.invite(attempt);
         }
     }
 
     @Override
-    public void withdraw(Attempt attempt) {
+    public void cancelAttempt(Attempt attempt) {
         Link link = links.get(attempt.exchange());
         if (link != null) {
-            link.withdraw(attempt);
+            link.cancelAttempt(attempt);
         }
     }
 
@@ -163,9 +163,9 @@
     }
 
     @Override
-    public boolean check(long exchange) {
+    public boolean checkLiveness(long exchange) {
         Link link = links.get(exchange);
-        return link != null && link.check();
+        return link != null && link.checkLiveness();
     }
 
     @Override
--- a/src/main/java/wingspread/link/LoadReportParser.java
+++ b/src/main/java/wingspread/link/LoadReportParser.java
@@ -14,7 +14,7 @@
 
     static Report parse(String text) {
         if (text.isEmpty()) {
-            return Report.NOTHING;
+            return Report.EMPTY;
         }
         Map<String, Double> values = new HashMap<>();
         for (String part : text.split(";")) {
--- a/src/main/java/wingspread/net/Newcomers.java
+++ b/src/main/java/wingspread/net/AcceptThrottle.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 import wingspread.metrics.Metrics;
 import wingspread.storm.LoopBudget;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 import wingspread.storm.SurgeDetector;
 
 /**
@@ -16,7 +16,7 @@
  * while their budget is exhausted. Meanwhile new connections wait in the listener's accept queue in the kernel; if that
  * is full, the client's TCP stack retransmits its SYN.
  */
-public final class Newcomers extends ChannelInboundHandlerAdapter {
+public final class AcceptThrottle extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("connection");
     private static final long SURGE_CHECK_INTERVAL_MICROS = 250_000;
     private static final double NANOS_PER_MICRO = 1_000;
@@ -38,20 +38,20 @@
      * @param kind name of the listener in the log
      * @param reconnectParameters budget of the loop's time for new connections, and the thresholds of a surge
      */
-    public Newcomers(Loop loop, String kind, ReconnectFigures reconnectParameters, Metrics metrics) {
+    public AcceptThrottle(Loop loop, String kind, ReconnectParameters reconnectParameters, Metrics metrics) {
         this.loop = loop;
         this.kind = kind;
-        this.loopBudget = reconnectParameters.newcomers(loop.now());
-        this.surgeDetector = reconnectParameters.surges(loop.now());
+        this.loopBudget = reconnectParameters.connectionBudget(loop.now());
+        this.surgeDetector = reconnectParameters.surgeDetector(loop.now());
         this.metrics = metrics;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-        if (surgeDetector.arrived(loop.now())) {
+        if (surgeDetector.recordConnection(loop.now())) {
             logSurge();
         }
-        if (surgeDetector.surge()) {
+        if (surgeDetector.surgeActive()) {
             peakPerSecond = Math.max(peakPerSecond, surgeDetector.perSecond(loop.now()));
         }
         metrics.count("taken.connections");
@@ -65,14 +65,14 @@
         ctx.fireChannelReadComplete();
         maxTurnMicros = Math.max(maxTurnMicros, turnMicros);
         turnMicros = 0;
-        if (!loopBudget.allows(loop.now())) {
+        if (!loopBudget.allowsConnection(loop.now())) {
             pause(ctx.channel());
         }
     }
 
     private void recordCost(long nanos) {
         turnMicros += nanos / NANOS_PER_MICRO;
-        loopBudget.spent(loop.now(), nanos / NANOS_PER_MICRO);
+        loopBudget.debit(loop.now(), nanos / NANOS_PER_MICRO);
     }
 
     private void pause(Channel listener) {
@@ -80,14 +80,14 @@
             paused = true;
             metrics.count("taken.connection-pauses");
             listener.config().setAutoRead(false);
-            loop.at(loopBudget.opensAt(loop.now()), () -> resume(listener));
+            loop.at(loopBudget.nextAllowedAt(loop.now()), () -> resume(listener));
         }
     }
 
     private void resume(Channel listener) {
         paused = false;
         // Handshakes may have used up the budget again in the meantime.
-        if (loopBudget.allows(loop.now())) {
+        if (loopBudget.allowsConnection(loop.now())) {
             listener.config().setAutoRead(true);
         } else {
             pause(listener);
@@ -96,10 +96,10 @@
 
     private void logSurge() {
         long now = loop.now();
-        LOG.atInfo().addKeyValue("reason", surgeDetector.surge() ? "RECONNECTS_BEGAN" : "RECONNECTS_ENDED")
+        LOG.atInfo().addKeyValue("reason", surgeDetector.surgeActive() ? "RECONNECTS_BEGAN" : "RECONNECTS_ENDED")
                 .addKeyValue("connections", Math.round(surgeDetector.perSecond(now)))
                 .addKeyValue("peak", Math.round(Math.max(peakPerSecond, surgeDetector.perSecond(now))))
-                .addKeyValue("usual", Math.round(surgeDetector.usualPerSecond(now)))
+                .addKeyValue("usual", Math.round(surgeDetector.baselinePerSecond(now)))
                 .addKeyValue("dearest-turn-us", Math.round(maxTurnMicros)).log("{}: new connections per second", kind);
         maxTurnMicros = 0;
         peakPerSecond = 0;
@@ -107,11 +107,11 @@
     }
 
     private void scheduleSurgeCheck() {
-        if (!surgeCheckScheduled && surgeDetector.surge()) {
+        if (!surgeCheckScheduled && surgeDetector.surgeActive()) {
             surgeCheckScheduled = true;
             loop.at(loop.now() + SURGE_CHECK_INTERVAL_MICROS, () -> {
                 surgeCheckScheduled = false;
-                if (surgeDetector.look(loop.now())) {
+                if (surgeDetector.update(loop.now())) {
                     logSurge();
                 }
                 scheduleSurgeCheck();
@@ -120,7 +120,7 @@
     }
 
     /** Charges the TLS handshake of a new connection to the same budget; call this before adding its SSL handler. */
-    public void meter(Channel connection, SslHandler sslHandler) {
+    public void meterHandshake(Channel connection, SslHandler sslHandler) {
         ChannelInboundHandlerAdapter handshakeMeter = new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
--- a/src/main/java/wingspread/net/Admission.java
+++ b/src/main/java/wingspread/net/Admission.java
@@ -51,7 +51,7 @@
     }
 
     /** Registers that a complete message has been received. */
-    public void heard(Channel channel) {
+    public void messageReceived(Channel channel) {
         if (awaitingFirstMessage.remove(channel) != null || active.remove(channel)) {
             active.add(channel);
         }
--- a/src/main/java/wingspread/net/DatagramHandler.java
+++ b/src/main/java/wingspread/net/DatagramHandler.java
@@ -15,24 +15,24 @@
 
     /** Receives the datagrams. */
     @FunctionalInterface
-    public interface Owner {
+    public interface Listener {
         /**
          * Processes a datagram.
          *
-         * @throws BadInput if the datagram is malformed; it is dropped
+         * @throws InvalidInputException if the datagram is malformed; it is dropped
          */
-        void received(ChannelHandlerContext ctx, byte[] bytes, InetSocketAddress sender) throws BadInput;
+        void received(ChannelHandlerContext ctx, byte[] bytes, InetSocketAddress sender) throws InvalidInputException;
     }
 
     private final String kind;
-    private final Owner listener;
+    private final Listener listener;
 
     /**
      * Creates a handler.
      *
      * @param kind name of the endpoint in the log
      */
-    public DatagramHandler(String kind, Owner listener) {
+    public DatagramHandler(String kind, Listener listener) {
         this.kind = kind;
         this.listener = listener;
     }
@@ -44,7 +44,7 @@
         content.readBytes(bytes);
         try {
             listener.received(ctx, bytes, packet.sender());
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             LOG.info("{} {} dropped {} ({})", kind, packet.sender(), CloseReason.BAD_INPUT, e.getMessage());
         }
     }
--- a/src/main/java/wingspread/net/FrameDecoder.java
+++ b/src/main/java/wingspread/net/FrameDecoder.java
@@ -14,16 +14,16 @@
      * Result of one decoding step.
      *
      * @param message the message; null if none is complete yet
-     * @param used number of bytes consumed
+     * @param consumedBytes number of bytes consumed
      */
-    record Step<M>(M message, int used) { }
+    record DecodeResult<M>(M message, int consumedBytes) { }
 
     /**
      * Decodes the next message.
      *
      * @param from index of the first byte
      * @param to index after the last byte
-     * @throws BadInput if the bytes cannot be a valid message; the connection is closed
+     * @throws InvalidInputException if the bytes cannot be a valid message; the connection is closed
      */
-    Step<M> next(byte[] bytes, int from, int to) throws BadInput;
+    DecodeResult<M> next(byte[] bytes, int from, int to) throws InvalidInputException;
 }
--- a/src/main/java/wingspread/net/Loop.java
+++ b/src/main/java/wingspread/net/Loop.java
@@ -48,7 +48,7 @@
     }
 
     /** Adds a worker; within an iteration the workers run in the order in which they were added. */
-    public void serve(Worker worker) {
+    public void addWorker(Worker worker) {
         workers.add(worker);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Requests a turn, which runs after the current iteration of the event loop has read all pending input. */
-    public void wantTurn() {
+    public void requestTurn() {
         if (!turnRequested) {
             turnRequested = true;
             eventLoop.executeAfterEventLoopIteration(this::runTurn);
@@ -71,10 +71,10 @@
     }
 
     /** Marks a channel to be flushed after the turn. */
-    public void touch(Channel channel) {
+    public void flushAfterTurn(Channel channel) {
         unflushed.add(channel);
         if (!inTurn) {
-            wantTurn();
+            requestTurn();
         }
     }
 
@@ -113,6 +113,6 @@
     private void onTimer() {
         timerDue = Long.MAX_VALUE;
         timer = null;
-        wantTurn();
+        requestTurn();
     }
 }
--- a/src/main/java/wingspread/net/MessageHandler.java
+++ b/src/main/java/wingspread/net/MessageHandler.java
@@ -28,33 +28,33 @@
      *
      * @param <M> type of the messages
      */
-    public interface Owner<M> {
+    public interface Listener<M> {
         /**
          * Processes a complete message.
          *
-         * @throws BadInput if the message is malformed; the connection is closed
+         * @throws InvalidInputException if the message is malformed; the connection is closed
          */
-        void received(Channel channel, M message) throws BadInput;
+        void received(Channel channel, M message) throws InvalidInputException;
 
         /** The connection has ended. */
         void ended(Channel channel, CloseReason reason);
 
         /** Returns the time in milliseconds without a byte after which an incomplete message closes its connection. */
-        default long longestPause() {
+        default long maxPauseMillis() {
             return DEFAULT_MAX_PAUSE_MS;
         }
 
         /**
-         * Returns how many intervals of {@link #longestPause} a message may take in total as long as bytes keep
+         * Returns how many intervals of {@link #maxPauseMillis} a message may take in total as long as bytes keep
          * arriving. The default is 1, the minimum, since the messages after a truncated one also count as arriving
          * bytes and are lost until the connection is closed.
          */
-        default int mostPauses() {
+        default int maxPauses() {
             return 1;
         }
 
         /** Whether a reply is pending on the connection; until it is sent, no incomplete message closes it. */
-        default boolean owes(Channel channel) {
+        default boolean hasPendingReply(Channel channel) {
             return false;
         }
     }
@@ -63,7 +63,7 @@
 
     private final String kind;
     private final FrameDecoder<M> decoder;
-    private final Owner<M> listener;
+    private final Listener<M> listener;
     private byte[] bytes = new byte[1024];
     private int readIndex;
     private int writeIndex;
@@ -80,7 +80,7 @@
      *
      * @param kind name of the peer in the log
      */
-    public MessageHandler(String kind, FrameDecoder<M> decoder, Owner<M> listener) {
+    public MessageHandler(String kind, FrameDecoder<M> decoder, Listener<M> listener) {
         this.kind = kind;
         this.decoder = decoder;
         this.listener = listener;
@@ -96,7 +96,7 @@
     }
 
     /** Whether a message has been received in part, or written data has not been sent completely. */
-    public static boolean busy(Channel channel) {
+    public static boolean hasPendingData(Channel channel) {
         MessageHandler<?> handler = channel.pipeline().get(MessageHandler.class);
         ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
         return handler != null && handler.writeIndex > handler.readIndex
@@ -123,8 +123,8 @@
         }
         try {
             while (ctx.channel().isActive()) {
-                FrameDecoder.Step<M> decoded = decoder.next(bytes, readIndex, writeIndex);
-                readIndex += decoded.used();
+                FrameDecoder.DecodeResult<M> decoded = decoder.next(bytes, readIndex, writeIndex);
+                readIndex += decoded.consumedBytes();
                 if (decoded.message() == null) {
                     scheduleIncompleteMessageCheck(ctx);
                     return;
@@ -132,7 +132,7 @@
                 messageCount++;
                 listener.received(ctx.channel(), decoded.message());
             }
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             closeDetail = " (" + e.getMessage() + ")";
             close(ctx.channel(), CloseReason.BAD_INPUT);
         }
@@ -152,14 +152,14 @@
                 checkScheduled = false;
                 incompletePauses = messageCount > messageCountBefore ? 0 : incompletePauses + 1;
                 boolean timedOut = writeIndex > readIndex && messageCount == messageCountBefore
-                        && (receivedBytes == receivedBytesBefore || incompletePauses >= listener.mostPauses());
-                if (timedOut && !listener.owes(ctx.channel())) {
+                        && (receivedBytes == receivedBytesBefore || incompletePauses >= listener.maxPauses());
+                if (timedOut && !listener.hasPendingReply(ctx.channel())) {
                     closeDetail = " (incomplete message)";
                     close(ctx.channel(), CloseReason.BAD_INPUT);
                 } else {
                     scheduleIncompleteMessageCheck(ctx);
                 }
-            }, listener.longestPause(), TimeUnit.MILLISECONDS);
+            }, listener.maxPauseMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/wingspread/net/Signals.java
+++ b/src/main/java/wingspread/net/Signals.java
@@ -24,7 +24,7 @@
      * @param names signal names without SIG, such as {@code TERM}
      * @throws ReflectiveOperationException if the platform does not support one of the signals
      */
-    public static void keep(String... names) throws ReflectiveOperationException {
+    public static void installHandlers(String... names) throws ReflectiveOperationException {
         for (String name : names) {
             install(name);
         }
--- a/src/main/java/wingspread/sip/Timers.java
+++ b/src/main/java/wingspread/sip/Timers.java
@@ -53,7 +53,7 @@
 
     @Override
     public void turn() {
-        deadlines.play(now());
+        deadlines.runDue(now());
     }
 
     @Override
--- a/src/main/java/wingspread/storm/AdaptiveThrottle.java
+++ b/src/main/java/wingspread/storm/AdaptiveThrottle.java
@@ -8,13 +8,13 @@
  * redials are both counted, but only redials are rejected. Call classes are not distinguished.
  */
 final class AdaptiveThrottle implements RedialLimiter {
-    private final StormFigures.Damping parameters;
+    private final StormParameters.Damping parameters;
     private final RandomGenerator random;
     private final DecayingRate offered;
     private final DecayingRate established;
     private double factorScale = 1;
 
-    AdaptiveThrottle(long now, StormFigures.Damping parameters, long windowMicros, RandomGenerator random) {
+    AdaptiveThrottle(long now, StormParameters.Damping parameters, long windowMicros, RandomGenerator random) {
         this.parameters = parameters;
         this.random = random;
         this.offered = new DecayingRate(now, windowMicros);
--- a/src/main/java/wingspread/storm/FairBudget.java
+++ b/src/main/java/wingspread/storm/FairBudget.java
@@ -13,7 +13,7 @@
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private final StormFigures.Damping parameters;
+    private final StormParameters.Damping parameters;
     private final long activityWindowMicros;
     private final double[] classValues;
     private final double[] classBalances;
@@ -29,7 +29,7 @@
      * @param activityWindowMicros time in microseconds for which a class counts as active after it offered a redial
      * @param classValues value of each call class, indexed by class number
      */
-    FairBudget(long now, StormFigures.Damping parameters, long activityWindowMicros, double[] classValues) {
+    FairBudget(long now, StormParameters.Damping parameters, long activityWindowMicros, double[] classValues) {
         this.parameters = parameters;
         this.activityWindowMicros = activityWindowMicros;
         this.classValues = classValues.clone();
@@ -104,7 +104,7 @@
                 classBalances[i] = 0;
             }
         }
-        double added = Math.min(amount, Math.max(0, parameters.budgetMost() - totalBalance()));
+        double added = Math.min(amount, Math.max(0, parameters.maxBudget() - totalBalance()));
         if (!(activeValue > 0)) {
             commonBalance += added;
             return;
@@ -112,7 +112,7 @@
         double surplus = 0;
         for (int i = 0; i < classValues.length; i++) {
             if (lastOfferedAt[i] > now - activityWindowMicros) {
-                double limit = parameters.budgetMost() * classValues[i] / activeValue;
+                double limit = parameters.maxBudget() * classValues[i] / activeValue;
                 double classShare = added * classValues[i] / activeValue;
                 double accepted = Math.max(0, Math.min(classShare, limit - classBalances[i]));
                 classBalances[i] += accepted;
--- a/src/main/java/wingspread/storm/LoopBudget.java
+++ b/src/main/java/wingspread/storm/LoopBudget.java
@@ -35,13 +35,13 @@
     }
 
     /** Whether another connection may be accepted now, which is the case while the balance is positive. */
-    public boolean allows(long now) {
+    public boolean allowsConnection(long now) {
         refill(now);
         return balance > 0;
     }
 
     /** Charges the loop time that one connection took, in microseconds. */
-    public void spent(long now, double micros) {
+    public void debit(long now, double micros) {
         refill(now);
         averageCostMicros += COST_LEARNING_RATE * (Math.max(0, micros) - averageCostMicros);
         balance -= Math.max(0, micros);
@@ -51,7 +51,7 @@
      * Returns when the next connection may be accepted: now, or when the debt is repaid and half the average cost of a
      * connection is available.
      */
-    public long opensAt(long now) {
+    public long nextAllowedAt(long now) {
         refill(now);
         return balance > 0 ? now : now + (long) Math.ceil((averageCostMicros / 2 - balance) / share);
     }
--- a/src/main/java/wingspread/storm/Ramp.java
+++ b/src/main/java/wingspread/storm/Ramp.java
@@ -5,17 +5,17 @@
  * admitted grows linearly. All times are in microseconds.
  */
 final class Ramp {
-    private final StormFigures.Damping parameters;
+    private final StormParameters.Damping parameters;
     private long endsAt = Long.MIN_VALUE;
 
     /** Creates a ramp that has not begun. */
-    Ramp(StormFigures.Damping parameters) {
+    Ramp(StormParameters.Damping parameters) {
         this.parameters = parameters;
     }
 
     /** Begins the ramp, at the share that applies during a storm; a running ramp starts over. */
     void begin(long now) {
-        endsAt = now + parameters.ramp();
+        endsAt = now + parameters.rampMicros();
     }
 
     /** Whether the ramp is running, so that redials are limited. */
@@ -26,7 +26,7 @@
     /** Returns the redials admitted per established fresh call at this point of the ramp. */
     double share(long now) {
         double elapsedShare =
-                Math.min(1, Math.max(0, 1 - (endsAt - now) / (double) Math.max(1, parameters.ramp())));
+                Math.min(1, Math.max(0, 1 - (endsAt - now) / (double) Math.max(1, parameters.rampMicros())));
         return parameters.budgetShare() + elapsedShare * (parameters.rampShare() - parameters.budgetShare());
     }
 }
--- a/src/main/java/wingspread/storm/RateGap.java
+++ b/src/main/java/wingspread/storm/RateGap.java
@@ -9,14 +9,14 @@
     /** Circuits that the bucket holds; a wider call is admitted only into an empty bucket. */
     private static final double BUCKET_DEPTH = 2;
 
-    private final StormFigures.Damping parameters;
+    private final StormParameters.Damping parameters;
     private double share;
     private double establishedAtOnset;
     private double fill;
     private long leakedAt;
 
     /** Creates a gate that admits redials at the floor rate until a storm begins. */
-    RateGap(long now, StormFigures.Damping parameters) {
+    RateGap(long now, StormParameters.Damping parameters) {
         this.parameters = parameters;
         this.share = parameters.budgetShare();
         this.leakedAt = now;
--- a/src/main/java/wingspread/storm/RedialHistory.java
+++ b/src/main/java/wingspread/storm/RedialHistory.java
@@ -27,11 +27,11 @@
         long retryAt;
     }
 
-    private final StormFigures.Returns parameters;
+    private final StormParameters.RetryPolicy parameters;
     /** Histories by called number, in access order: the least recently used one comes first. */
     private final Map<Long, NumberHistory> numbers = new LinkedHashMap<>(16, 0.75f, true);
 
-    RedialHistory(StormFigures.Returns parameters) {
+    RedialHistory(StormParameters.RetryPolicy parameters) {
         this.parameters = parameters;
     }
 
@@ -41,21 +41,21 @@
      * @param number called number; 0 if not known
      */
     Classification classify(long now, long number) {
-        if (number == 0 || parameters.redialTime() == 0) {
+        if (number == 0 || parameters.redialWindowMicros() == 0) {
             return Classification.NONE;
         }
         NumberHistory history = numbers.get(number);
         if (history == null
-                || now - history.lastOfferedAt > parameters.redialTime() && history.pendingCalls == 0) {
+                || now - history.lastOfferedAt > parameters.redialWindowMicros() && history.pendingCalls == 0) {
             evictIfFull();
             history = new NumberHistory();
             numbers.put(number, history);
         }
         // On a number that many callers dial, each call would look like the redial of another caller.
-        boolean singleCaller = history.pendingCalls == 0 && history.offeredCalls <= parameters.mostTries();
+        boolean singleCaller = history.pendingCalls == 0 && history.offeredCalls <= parameters.maxCallsPerNumber();
         boolean redial = singleCaller && history.failedAt >= 0
-                && now - history.failedAt <= parameters.redialTime();
-        boolean tooEarly = redial && now < history.retryAt - parameters.early();
+                && now - history.failedAt <= parameters.redialWindowMicros();
+        boolean tooEarly = redial && now < history.retryAt - parameters.earlyToleranceMicros();
         history.offeredCalls++;
         history.pendingCalls++;
         history.lastOfferedAt = Math.max(history.lastOfferedAt, now);
@@ -98,7 +98,7 @@
     }
 
     private void evictIfFull() {
-        if (numbers.size() >= parameters.mostNumbers()) {
+        if (numbers.size() >= parameters.maxNumbers()) {
             Iterator<Long> leastRecentlyUsed = numbers.keySet().iterator();
             leastRecentlyUsed.next();
             leastRecentlyUsed.remove();
--- a/src/main/java/wingspread/storm/StormDetector.java
+++ b/src/main/java/wingspread/storm/StormDetector.java
@@ -14,7 +14,7 @@
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double SIGNIFICANT_DEVIATIONS = 3;
 
-    private final StormFigures.Detection parameters;
+    private final StormParameters.Detection parameters;
     private final DecayingRate freshCalls;
     private final DecayingRate redials;
     private final DecayingRate baselineFreshCalls;
@@ -30,12 +30,12 @@
     private long calmSince = -1;
 
     /** Creates a detector that has counted no calls. */
-    public StormDetector(long now, StormFigures.Detection parameters) {
+    public StormDetector(long now, StormParameters.Detection parameters) {
         this.parameters = parameters;
-        this.freshCalls = new DecayingRate(now, parameters.window());
-        this.redials = new DecayingRate(now, parameters.window());
-        this.baselineFreshCalls = new DecayingRate(now, parameters.usualWindow());
-        this.baselineRedials = new DecayingRate(now, parameters.usualWindow());
+        this.freshCalls = new DecayingRate(now, parameters.windowMicros());
+        this.redials = new DecayingRate(now, parameters.windowMicros());
+        this.baselineFreshCalls = new DecayingRate(now, parameters.baselineWindowMicros());
+        this.baselineRedials = new DecayingRate(now, parameters.baselineWindowMicros());
         this.intervalStart = now;
     }
 
@@ -52,12 +52,12 @@
         } else if (!active) {
             currentFreshCalls++;
         }
-        return look(now);
+        return update(now);
     }
 
     /** Adds counts to the baseline one window late, so that a storm is not learnt before it is detected. */
     private void learnBaseline(long now) {
-        if (now - intervalStart >= parameters.window()) {
+        if (now - intervalStart >= parameters.windowMicros()) {
             baselineFreshCalls.add(now, previousFreshCalls);
             baselineRedials.add(now, previousRedials);
             previousFreshCalls = currentFreshCalls;
@@ -76,14 +76,14 @@
     }
 
     /** Updates the state to the current time. */
-    public Change look(long now) {
+    public Change update(long now) {
         double redialRate = redials.perSecond(now);
         double freshRate = freshCalls.perSecond(now);
         double baseline = baselineRatio(now);
         if (!active) {
-            if (redialRate > parameters.leastRedials()
+            if (redialRate > parameters.minRedialsPerSecond()
                     && exceedsSignificantly(redialRate,
-                            Math.max(parameters.onsetRatio(), parameters.overUsual() * baseline), freshRate)) {
+                            Math.max(parameters.onsetRatio(), parameters.baselineFactor() * baseline), freshRate)) {
                 active = true;
                 discardRecentCounts();
                 calmSince = -1;
@@ -92,14 +92,14 @@
             return Change.NONE;
         }
         // Hysteresis: half the onset factor over the baseline, but never below the baseline itself.
-        double endRatio = Math.max(parameters.endRatio(), Math.max(1, parameters.overUsual() / 2) * baseline);
+        double endRatio = Math.max(parameters.endRatio(), Math.max(1, parameters.baselineFactor() / 2) * baseline);
         if (redialRate > endRatio * freshRate
-                && redialRate > parameters.leastRedials() * parameters.endRatio()) {
+                && redialRate > parameters.minRedialsPerSecond() * parameters.endRatio()) {
             calmSince = -1;
             return Change.NONE;
         }
         calmSince = calmSince < 0 ? now : calmSince;
-        if (now - calmSince >= parameters.endAfter()) {
+        if (now - calmSince >= parameters.endAfterMicros()) {
             active = false;
             return Change.ENDED;
         }
@@ -111,7 +111,7 @@
      * difference of two Poisson counts. Otherwise the first few calls after a start could be taken for a storm.
      */
     private boolean exceedsSignificantly(double redialRate, double ratio, double freshRate) {
-        double seconds = parameters.window() / MICROS_PER_SECOND;
+        double seconds = parameters.windowMicros() / MICROS_PER_SECOND;
         double excess = (redialRate - ratio * freshRate) * seconds;
         return excess > SIGNIFICANT_DEVIATIONS * Math.sqrt((redialRate + ratio * ratio * freshRate) * seconds);
     }
@@ -132,6 +132,6 @@
     /** Returns the redials per fresh call outside of storms, from 0 to the configured maximum of the baseline. */
     public double baselineRatio(long now) {
         double freshRate = baselineFreshCalls.perSecond(now);
-        return freshRate > 0 ? Math.min(parameters.mostUsual(), baselineRedials.perSecond(now) / freshRate) : 0;
+        return freshRate > 0 ? Math.min(parameters.maxBaselineRatio(), baselineRedials.perSecond(now) / freshRate) : 0;
     }
 }
--- a/src/main/java/wingspread/storm/StormNews.java
+++ b/src/main/java/wingspread/storm/StormEvent.java
@@ -5,16 +5,16 @@
  *
  * @param number of the destination or region; 0 for {@link Scope#ALL}
  * @param began true for the beginning, false for the end
- * @param firstTriesPerSecond current rate of fresh calls
- * @param usualRatio redials per fresh call outside of storms
+ * @param freshCallsPerSecond current rate of fresh calls
+ * @param baselineRatio redials per fresh call outside of storms
  */
-public record StormNews(Scope scope, int number, boolean began, double redialsPerSecond, double firstTriesPerSecond,
-        double usualRatio) {
+public record StormEvent(Scope scope, int number, boolean began, double redialsPerSecond, double freshCallsPerSecond,
+        double baselineRatio) {
     /** The part of the network in which a storm was detected. */
     public enum Scope { DESTINATION, REGION, ALL }
 
     /** Receives the beginning and the end of storms. */
     public interface Listener {
-        void onStormEvent(StormNews event);
+        void onStormEvent(StormEvent event);
     }
 }
--- a/src/main/java/wingspread/storm/StormGate.java
+++ b/src/main/java/wingspread/storm/StormGate.java
@@ -20,17 +20,17 @@
     /**
      * The call is passed on to the decision module.
      *
-     * @param seen the offer with its final classification as fresh call or redial, which later
+     * @param classifiedOffer the offer with its final classification as fresh call or redial, which later
      *     notifications take
      */
-    public record Pass(Try seen) implements Verdict { }
+    public record Pass(CallOffer classifiedOffer) implements Verdict { }
 
     /**
      * The call is rejected.
      *
-     * @param advised wait before the next redial that the caller is advised, in microseconds
+     * @param advisedWaitMicros wait before the next redial that the caller is advised, in microseconds
      */
-    public record TurnedAway(long advised, Reason reason) implements Verdict { }
+    public record Rejected(long advisedWaitMicros, Reason reason) implements Verdict { }
 
     /** Why a redial is rejected. */
     public enum Reason {
@@ -40,16 +40,16 @@
         EARLY
     }
 
-    /** Interval in microseconds at which {@link #look} is to be called while a storm is active. */
-    public static final long LOOK_EVERY = 250_000;
+    /** Interval in microseconds at which {@link #update} is to be called while a storm is active. */
+    public static final long UPDATE_INTERVAL_MICROS = 250_000;
     private static final int NO_REGION = -1;
     /** An increase of the working circuits by this factor in one report counts as the recovery of circuits. */
     private static final double RECOVERY_FACTOR = 1.25;
 
-    private final StormFigures parameters;
+    private final StormParameters parameters;
     private final double[] classValues;
     private final RandomGenerator random;
-    private final StormNews.Listener listener;
+    private final StormEvent.Listener listener;
     private final RedialHistory history;
     private final StormDetector globalDetector;
     /** Detectors by region, for the regions of the listed destinations. */
@@ -78,13 +78,13 @@
         double circuits = Double.NaN;
 
         Destination(long now) {
-            long window = parameters.detection().window();
+            long windowMicros = parameters.detection().windowMicros();
             detector = new StormDetector(now, parameters.detection());
-            limiter = newLimiter(now, window);
-            schedule = new RetrySchedule(now, parameters.returns().longestWait(), random);
-            establishedFresh = new DecayingRate(now, window);
-            established = new DecayingRate(now, window);
-            failed = new DecayingRate(now, window);
+            limiter = newLimiter(now, windowMicros);
+            schedule = new RetrySchedule(now, parameters.retryPolicy().maxWaitMicros(), random);
+            establishedFresh = new DecayingRate(now, windowMicros);
+            established = new DecayingRate(now, windowMicros);
+            failed = new DecayingRate(now, windowMicros);
         }
 
         /**
@@ -94,13 +94,13 @@
          */
         boolean isFailing(long now) {
             double failures = failed.perSecond(now);
-            return failures > parameters.damping().leastFailing() * (failures + established.perSecond(now));
+            return failures > parameters.damping().minFailureShare() * (failures + established.perSecond(now));
         }
 
-        private RedialLimiter newLimiter(long now, long window) {
+        private RedialLimiter newLimiter(long now, long windowMicros) {
             return switch (parameters.damping().method()) {
-                case BUDGET -> new FairBudget(now, parameters.damping(), window, classValues);
-                case THROTTLE -> new AdaptiveThrottle(now, parameters.damping(), window, random);
+                case BUDGET -> new FairBudget(now, parameters.damping(), windowMicros, classValues);
+                case THROTTLE -> new AdaptiveThrottle(now, parameters.damping(), windowMicros, random);
                 case GAP -> new RateGap(now, parameters.damping());
                 case SPREAD -> null;
             };
@@ -134,19 +134,19 @@
      * @param classValues value of each call class, indexed by class number
      * @param listener notified of the beginning and the end of each storm
      */
-    public StormGate(long now, StormFigures parameters, List<Double> classValues, RandomGenerator random,
-            StormNews.Listener listener) {
+    public StormGate(long now, StormParameters parameters, List<Double> classValues, RandomGenerator random,
+            StormEvent.Listener listener) {
         this.parameters = parameters;
         this.classValues = classValues.stream().mapToDouble(Double::doubleValue).toArray();
         this.random = random;
         this.listener = listener;
-        this.history = new RedialHistory(parameters.returns());
+        this.history = new RedialHistory(parameters.retryPolicy());
         this.globalDetector = new StormDetector(now, parameters.detection());
     }
 
     /** Records the region of a destination that the directory lists. */
-    public void listed(long now, int destination, int region) {
-        if (regionByDestination.size() < parameters.returns().mostKeys()
+    public void onDestinationListed(long now, int destination, int region) {
+        if (regionByDestination.size() < parameters.retryPolicy().maxDestinations()
                 || regionByDestination.containsKey(destination)) {
             regionByDestination.put(destination, region);
             regionDetectors.computeIfAbsent(region, r -> new StormDetector(now, parameters.detection()));
@@ -154,21 +154,21 @@
     }
 
     /** Decides whether a subscriber's call is passed on. */
-    public Verdict offered(long now, Try callOffer) {
+    public Verdict decide(long now, CallOffer callOffer) {
         RedialHistory.Classification classification = history.classify(now, callOffer.calledNumber());
-        boolean redial = callOffer.again() || classification != RedialHistory.Classification.NONE;
+        boolean redial = callOffer.isRedial() || classification != RedialHistory.Classification.NONE;
         Destination destination = destination(now, callOffer.destination());
-        notifyListener(now, StormNews.Scope.DESTINATION, callOffer.destination(), destination.detector,
+        notifyListener(now, StormEvent.Scope.DESTINATION, callOffer.destination(), destination.detector,
                 destination.detector.recordCall(now, redial));
         int region = regionByDestination.getOrDefault(callOffer.destination(), NO_REGION);
         StormDetector regionDetector = regionDetectors.get(region);
         if (regionDetector != null) {
-            notifyListener(now, StormNews.Scope.REGION, region, regionDetector,
+            notifyListener(now, StormEvent.Scope.REGION, region, regionDetector,
                     regionDetector.recordCall(now, redial));
         }
-        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.recordCall(now, redial));
+        notifyListener(now, StormEvent.Scope.ALL, 0, globalDetector, globalDetector.recordCall(now, redial));
         boolean limiting = destination.updateLimiting(now, stormAffects(destination, regionDetector));
-        Pass pass = new Pass(new Try(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(),
+        Pass pass = new Pass(new CallOffer(callOffer.destination(), callOffer.callClass(), callOffer.calledNumber(),
                 redial, callOffer.width()));
         if (destination.limiter == null) {
             return pass;
@@ -186,7 +186,7 @@
             long retryAt = history.retryAt(callOffer.calledNumber());
             history.onCallFailed(now, callOffer.calledNumber(), retryAt);
             // After a backward step of the clock the remaining time could exceed the maximum wait.
-            return new TurnedAway(Math.min(retryAt - now, parameters.returns().longestWait()), Reason.EARLY);
+            return new Rejected(Math.min(retryAt - now, parameters.retryPolicy().maxWaitMicros()), Reason.EARLY);
         }
         destination.limiter.setShare(destination.share(now));
         if (destination.limiter.tryAcquire(now, callOffer.callClass(), callOffer.width())) {
@@ -194,7 +194,7 @@
         }
         long wait = destination.nextWait(now);
         history.onCallFailed(now, callOffer.calledNumber(), now + wait);
-        return new TurnedAway(wait, Reason.NO_BUDGET);
+        return new Rejected(wait, Reason.NO_BUDGET);
     }
 
     private boolean stormAffects(Destination destination, StormDetector regionDetector) {
@@ -203,43 +203,43 @@
     }
 
     /** Records that a passed call was established. */
-    public void gotThrough(long now, Try seen) {
-        Destination destination = destination(now, seen.destination());
-        if (!seen.again()) {
+    public void onCallEstablished(long now, CallOffer classifiedOffer) {
+        Destination destination = destination(now, classifiedOffer.destination());
+        if (!classifiedOffer.isRedial()) {
             destination.establishedFresh.add(now, 1);
         }
         destination.established.add(now, 1);
         if (destination.limiter != null) {
-            destination.limiter.onCallEstablished(now, seen.again());
+            destination.limiter.onCallEstablished(now, classifiedOffer.isRedial());
         }
-        history.onCallEstablished(seen.calledNumber());
+        history.onCallEstablished(classifiedOffer.calledNumber());
     }
 
     /**
      * Records that the decision module refused a passed call.
      *
-     * @param advised wait that the module advises, in microseconds; 0 for none
+     * @param advisedWaitMicros wait that the module advises, in microseconds; 0 for none
      * @return the wait to advise to the caller, in microseconds: at least the module's; 0 for none
      */
-    public long refused(long now, Try seen, long advised) {
-        Destination destination = destination(now, seen.destination());
+    public long onCallRefused(long now, CallOffer classifiedOffer, long advisedWaitMicros) {
+        Destination destination = destination(now, classifiedOffer.destination());
         destination.failed.add(now, 1);
-        long wait = advised;
-        if (parameters.returns().spreadRefusals() && destination.stormActive) {
-            wait = Math.max(advised, destination.nextWait(now));
+        long wait = advisedWaitMicros;
+        if (parameters.retryPolicy().spreadRefusals() && destination.stormActive) {
+            wait = Math.max(advisedWaitMicros, destination.nextWait(now));
         }
-        history.onCallFailed(now, seen.calledNumber(), wait > 0 ? now + wait : 0);
+        history.onCallFailed(now, classifiedOffer.calledNumber(), wait > 0 ? now + wait : 0);
         return wait;
     }
 
     /** Records that a passed call failed or was abandoned, and that its caller was advised no wait. */
-    public void failed(long now, Try seen) {
-        destination(now, seen.destination()).failed.add(now, 1);
-        history.onCallFailed(now, seen.calledNumber(), 0);
+    public void onCallFailed(long now, CallOffer classifiedOffer) {
+        destination(now, classifiedOffer.destination()).failed.add(now, 1);
+        history.onCallFailed(now, classifiedOffer.calledNumber(), 0);
     }
 
     /** Records that a destination has recovered: its redials are admitted along a ramp. */
-    public void cameBack(long now, int destination) {
+    public void onDestinationRecovered(long now, int destination) {
         destination(now, destination).ramp.begin(now);
     }
 
@@ -248,7 +248,7 @@
      *
      * @param working number of circuits; NaN if not reported
      */
-    public void circuits(long now, int destinationNumber, double working) {
+    public void onCircuitsReported(long now, int destinationNumber, double working) {
         if (Double.isNaN(working)) {
             return;
         }
@@ -260,20 +260,20 @@
     }
 
     /** Updates all detectors to the current time, so that storms end even when no more calls are offered. */
-    public void look(long now) {
-        notifyListener(now, StormNews.Scope.ALL, 0, globalDetector, globalDetector.look(now));
+    public void update(long now) {
+        notifyListener(now, StormEvent.Scope.ALL, 0, globalDetector, globalDetector.update(now));
         regionDetectors.forEach((region, detector) ->
-                notifyListener(now, StormNews.Scope.REGION, region, detector, detector.look(now)));
+                notifyListener(now, StormEvent.Scope.REGION, region, detector, detector.update(now)));
         destinations.forEach((number, destination) -> {
-            notifyListener(now, StormNews.Scope.DESTINATION, number, destination.detector,
-                    destination.detector.look(now));
+            notifyListener(now, StormEvent.Scope.DESTINATION, number, destination.detector,
+                    destination.detector.update(now));
             destination.updateLimiting(now, stormAffects(destination,
                     regionDetectors.get(regionByDestination.getOrDefault(number, NO_REGION))));
         });
     }
 
-    /** Whether a storm is active in any scope, so that {@link #look} has to be called periodically. */
-    public boolean stormy() {
+    /** Whether a storm is active in any scope, so that {@link #update} has to be called periodically. */
+    public boolean anyStormActive() {
         return activeStorms > 0;
     }
 
@@ -285,7 +285,7 @@
     private Destination destination(long now, int number) {
         Destination destination = destinations.get(number);
         if (destination == null) {
-            if (destinations.size() >= parameters.returns().mostKeys()) {
+            if (destinations.size() >= parameters.retryPolicy().maxDestinations()) {
                 Iterator<Destination> leastRecentlyUsed = destinations.values().iterator();
                 activeStorms -= leastRecentlyUsed.next().detector.isActive() ? 1 : 0;
                 leastRecentlyUsed.remove();
@@ -296,11 +296,11 @@
         return destination;
     }
 
-    private void notifyListener(long now, StormNews.Scope scope, int number, StormDetector detector,
+    private void notifyListener(long now, StormEvent.Scope scope, int number, StormDetector detector,
             StormDetector.Change change) {
         if (change != StormDetector.Change.NONE) {
             activeStorms += change == StormDetector.Change.BEGAN ? 1 : -1;
-            listener.onStormEvent(new StormNews(scope, number, change == StormDetector.Change.BEGAN,
+            listener.onStormEvent(new StormEvent(scope, number, change == StormDetector.Change.BEGAN,
                     detector.redialsPerSecond(now), detector.freshCallsPerSecond(now), detector.baselineRatio(now)));
         }
     }
--- a/src/main/java/wingspread/storm/SurgeDetector.java
+++ b/src/main/java/wingspread/storm/SurgeDetector.java
@@ -38,16 +38,16 @@
     }
 
     /** Counts a new connection; returns true if a surge begins or ends with it. */
-    public boolean arrived(long now) {
+    public boolean recordConnection(long now) {
         rate.add(now, 1);
         if (!active) {
             currentCount++;
         }
-        return look(now);
+        return update(now);
     }
 
     /** Updates the state to the current time; returns true if a surge begins or ends. */
-    public boolean look(long now) {
+    public boolean update(long now) {
         if (now - intervalStart >= windowMicros) {
             baseline.add(now, previousCount);
             previousCount = currentCount;
@@ -65,7 +65,7 @@
     }
 
     /** Whether a surge is active. */
-    public boolean surge() {
+    public boolean surgeActive() {
         return active;
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Returns the baseline rate of new connections per second. */
-    public double usualPerSecond(long now) {
+    public double baselinePerSecond(long now) {
         return baseline.perSecond(now);
     }
 }
--- a/src/main/java/wingspread/testbed/CallerSide.java
+++ b/src/main/java/wingspread/testbed/CallerSide.java
@@ -21,7 +21,7 @@
 import wingspread.json.LineDecoder;
 import wingspread.json.Json;
 import wingspread.lab.host.Effect;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.CloseReason;
 import wingspread.net.Loop;
 import wingspread.net.MessageHandler;
@@ -30,7 +30,7 @@
  * The callers of one softswitch, who share some connections of JSON lines and open each anew when it ends. Confined to
  * the loop.
  */
-final class CallerSide implements MessageHandler.Owner<Map<?, ?>> {
+final class CallerSide implements MessageHandler.Listener<Map<?, ?>> {
     private static final long RECONNECT = 50_000;
     private static final long STALL = 2_000_000;
     private static final int REFUSED = 42;
@@ -92,7 +92,7 @@
 
     private void write(Channel channel, String line) {
         MessageHandler.write(channel, Unpooled.wrappedBuffer(line.getBytes(StandardCharsets.ISO_8859_1)));
-        loop.touch(channel);
+        loop.flushAfterTurn(channel);
     }
 
     void close() {
@@ -145,7 +145,7 @@
     // What they hear.
 
     @Override
-    public void received(Channel channel, Map<?, ?> message) throws BadInput {
+    public void received(Channel channel, Map<?, ?> message) throws InvalidInputException {
         String call = String.valueOf(message.get("call"));
         switch (String.valueOf(message.get("op"))) {
             case "accept" -> {
@@ -158,7 +158,7 @@
     }
 
     private void ended(String call, Map<?, ?> message) {
-        int why = message.get("why") instanceof Double d ? d.intValue() : Planner.NORMAL;
+        int why = message.get("why") instanceof Double d ? d.intValue() : Planner.CAUSE_NORMAL_CLEARING;
         if (open.remove(call) == null) {
             effects.accept(new Effect.Over(call, why));
         } else if (why == REFUSED) {
--- a/src/main/java/wingspread/testbed/ExchangeSide.java
+++ b/src/main/java/wingspread/testbed/ExchangeSide.java
@@ -29,7 +29,7 @@
  * The socket at which one softswitch reaches one exchange: it says what the model's exchange does in the platform's
  * SIP, and what the softswitch sends as the model's effects. Confined to the loop.
  */
-final class ExchangeSide implements MessageHandler.Owner<SipMessage> {
+final class ExchangeSide implements MessageHandler.Listener<SipMessage> {
     /** A set-up that has come in and where it came. */
     private record Invite(Channel channel, SipMessage message, long deadline) { }
 
@@ -101,7 +101,7 @@
     private void send(Channel channel, SipMessage message) {
         if (channel.isActive()) {
             MessageHandler.write(channel, message.encode());
-            loop.touch(channel);
+            loop.flushAfterTurn(channel);
         }
     }
 
--- a/src/main/java/wingspread/testbed/NameServer.java
+++ b/src/main/java/wingspread/testbed/NameServer.java
@@ -23,7 +23,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import wingspread.control.CallControl.Readiness;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.DatagramHandler;
 import wingspread.net.Loop;
 
@@ -70,9 +70,9 @@
                 .syncUninterruptibly().channel();
     }
 
-    private static byte[] checked(byte[] question) throws BadInput {
+    private static byte[] checked(byte[] question) throws InvalidInputException {
         if (question.length < HEADER) {
-            throw new BadInput("DNS: the question ends early");
+            throw new InvalidInputException("DNS: the question ends early");
         }
         return question;
     }
@@ -80,7 +80,7 @@
     /** Answers the questions of one connection. */
     private final class WholeAnswer extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf question) throws BadInput {
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf question) throws InvalidInputException {
             ctx.writeAndFlush(Unpooled.wrappedBuffer(
                     answer(checked(ByteBufUtil.getBytes(question)), serial, named.values(), LONGEST)));
         }
--- a/src/main/java/wingspread/testbed/Place.java
+++ b/src/main/java/wingspread/testbed/Place.java
@@ -102,9 +102,9 @@
     void tell(Happening happening) throws IOException {
         if (happening instanceof Happening.Offered h) {
             callers.offer(h.request());
-        } else if (happening instanceof Happening.GivenUp h) {
+        } else if (happening instanceof Happening.CallerAbandoned h) {
             callers.end(h.call(), 16);
-        } else if (happening instanceof Happening.CallerEnded h) {
+        } else if (happening instanceof Happening.CallerReleased h) {
             callers.end(h.call(), h.cause());
         } else if (happening instanceof Happening.Answered h && exchanges.containsKey(h.exchange())) {
             exchanges.get(h.exchange()).answered(h.call());
@@ -114,7 +114,7 @@
             exchanges.get(h.exchange()).released(h.call(), h.cause(), h.report());
         } else if (happening instanceof Happening.Reported h && exchanges.containsKey(h.exchange())) {
             exchanges.get(h.exchange()).reported(h.report());
-        } else if (happening instanceof Happening.Broken h) {
+        } else if (happening instanceof Happening.AttemptAborted h) {
             // The exchange that could not be reached has died: so do its sockets.
             exchanges.values().stream().filter(side -> side.has(h.call())).toList().forEach(ExchangeSide::die);
         } else if (happening instanceof Happening.Listed h) {
--- a/src/main/java/wingspread/testbed/soak/CallerStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/CallerStandIn.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import wingspread.json.LineDecoder;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.CloseReason;
 import wingspread.net.Loop;
 import wingspread.net.MessageHandler;
@@ -30,7 +30,7 @@
  * open one for as long as it is open. Some of them give up, write slowly, repeat an id, or leave with their request.
  * Confined to the loop.
  */
-final class CallerStandIn implements MessageHandler.Owner<Map<?, ?>> {
+final class CallerStandIn implements MessageHandler.Listener<Map<?, ?>> {
     private static final int NORMAL = 16;
     private static final List<Integer> REFUSALS = List.of(34, 42, 102);
     private static final long RECONNECT = 20_000;
@@ -167,7 +167,7 @@
 
     private void write(Channel channel, String line) {
         MessageHandler.write(channel, Unpooled.wrappedBuffer(line.getBytes(StandardCharsets.ISO_8859_1)));
-        loop.touch(channel);
+        loop.flushAfterTurn(channel);
     }
 
     private void sendAgain(Channel channel) {
@@ -329,7 +329,7 @@
     }
 
     @Override
-    public void received(Channel channel, Map<?, ?> message) throws BadInput {
+    public void received(Channel channel, Map<?, ?> message) throws InvalidInputException {
         String id = String.valueOf(message.get("call"));
         switch (String.valueOf(message.get("op"))) {
             case "tested" -> {
