--- a/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
@@ -32,7 +32,7 @@
  * stand for a while and releases them, and tells the {@link Judge} of all that the rules are about. Confined to the
  * loop.
  */
-final class ExchangeStandIn implements MessageHandler.Owner<SipMessage> {
+final class ExchangeStandIn implements MessageHandler.Listener<SipMessage> {
     private static final int NORMAL = 16;
     private static final int CUT = 41;
     private static final int CIRCUITS = 400;
@@ -273,7 +273,7 @@
     private void send(Channel channel, SipMessage message) {
         if (channel.isActive()) {
             MessageHandler.write(channel, message.encode());
-            loop.touch(channel);
+            loop.flushAfterTurn(channel);
         }
     }
 
--- a/src/main/java/wingspread/turn/Deadlines.java
+++ b/src/main/java/wingspread/turn/Deadlines.java
@@ -17,7 +17,7 @@
     }
 
     /** Runs all tasks that are due, including those that they add. */
-    public void play(long now) {
+    public void runDue(long now) {
         while (next() <= now) {
             entries.remove().task().run();
         }
@@ -28,7 +28,7 @@
      *
      * @throws java.util.NoSuchElementException if there is none
      */
-    public void playOne() {
+    public void runNext() {
         entries.remove().task().run();
     }
 
--- a/src/main/java/wingspread/wirehost/Instance.java
+++ b/src/main/java/wingspread/wirehost/Instance.java
@@ -33,7 +33,7 @@
 
     /** Names the values of a load report; the wire says -1 for one that does not apply. */
     Report report(double[] values) {
-        return values.length == 0 ? Report.NOTHING : new Report(value(values, "idle"), value(values,
+        return values.length == 0 ? Report.EMPTY : new Report(value(values, "idle"), value(values,
                 "circuits"),
                 value(values, "outstanding"), value(values, "backlog"), value(values, "utilization"),
                 value(values, "recent_ms"), value(values, "max_rate"), value(values, "reduce"));
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public void timer(long at, long token) {
-        reply.timer(id, at - now, token);
+    public void setTimer(long at, long token) {
+        reply.setTimer(id, at - now, token);
     }
 
     @Override
@@ -80,8 +80,8 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
-        reply.tell(id, peer, message);
+    public void sendToPeer(int peer, byte[] message) {
+        reply.sendToPeer(id, peer, message);
     }
 
     @Override
--- a/src/main/java/wingspread/wirehost/Instances.java
+++ b/src/main/java/wingspread/wirehost/Instances.java
@@ -10,7 +10,7 @@
 import wingspread.control.CallControl.Report;
 import wingspread.control.CallControl.Status;
 import wingspread.config.SettingsParser;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.control.WindowControl;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -66,7 +66,8 @@
         Instance instance = new Instance(current, reply, parsed.reportFields());
         instances.put(current, instance);
         instance.at(now);
-        guard(() -> instance.attach(new WindowControl(now, parsed.settings(), Figures.USUAL, seed, instance)));
+        guard(() -> instance.attach(new WindowControl(now, parsed.settings(),
+                ControlParameters.DEFAULTS, seed, instance)));
     }
 
     /** An event is read whole also where no instance lives any longer to hear it. */
@@ -89,11 +90,11 @@
                 long exchange = in.exchange("exchange");
                 long took = in.u32("duration");
                 int attempt = in.u16("n");
-                tell(instance, c -> c.onStood(now, call, attempt, exchange, took));
+                tell(instance, c -> c.onCallEstablished(now, call, attempt, exchange, took));
             }
             case 4 -> {
                 long call = in.u64("xid");
-                tell(instance, c -> c.onDropped(now, call));
+                tell(instance, c -> c.onCallDropped(now, call));
             }
             case 5 -> {
                 Call call = readCall(in, now);
@@ -197,7 +198,7 @@
         for (int i = 0; i < values.length; i++) {
             values[i] = in.f32("stats");
         }
-        return instance == null ? Report.NOTHING : instance.report(values);
+        return instance == null ? Report.EMPTY : instance.report(values);
     }
 
     private static Status status(int code) {
--- a/src/main/java/wingspread/wirehost/ReplyWriter.java
+++ b/src/main/java/wingspread/wirehost/ReplyWriter.java
@@ -48,7 +48,7 @@
         });
     }
 
-    void timer(long instance, long delay, long token) {
+    void setTimer(long instance, long delay, long token) {
         record(instance, 4, o -> {
             o.writeInt(u32(delay));
             o.writeLong(token);
@@ -63,7 +63,7 @@
         record(instance, 6, o -> writeExchange(o, exchange));
     }
 
-    void tell(long instance, int peer, byte[] message) {
+    void sendToPeer(long instance, int peer, byte[] message) {
         record(instance, 7, o -> {
             o.writeShort(peer);
             o.writeShort(message.length);
--- a/src/test/java/wingspread/ServeTest.java
+++ b/src/test/java/wingspread/ServeTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import wingspread.json.LineDecoder;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
 import wingspread.record.Recording;
@@ -86,7 +86,7 @@
     }
 
     /** Tests the program until the test says this; the wire's patience bounds each one. */
-    private static void asksUntil(Wire<Map<?, ?>> wire, int wanted) throws IOException, BadInput {
+    private static void asksUntil(Wire<Map<?, ?>> wire, int wanted) throws IOException, InvalidInputException {
         do {
             wire.send("{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n");
         } while (((Double) wire.next().get("why")).intValue() != wanted);
@@ -152,7 +152,7 @@
                 + "\"key\":\"00FF\",\"extras\":\"dest:1;width:1;via:-1\"},\"desc\":\"v=0\\r\\n\u00e9\\u00e9\"}\n");
     }
 
-    private SipMessage heard(String method) throws IOException, BadInput {
+    private SipMessage heard(String method) throws IOException, InvalidInputException {
         SipMessage message = exchange.next();
         assertEquals(method, message.method());
         return message;
@@ -163,7 +163,7 @@
                 .withBody(new byte[] {'o', '=', 0x22, (byte) 0xc3, 0}).encode());
     }
 
-    private Map<?, ?> told(String op) throws IOException, BadInput {
+    private Map<?, ?> told(String op) throws IOException, InvalidInputException {
         Map<?, ?> message = caller.next();
         assertEquals(op, message.get("op"), message::toString);
         return message;
@@ -174,7 +174,7 @@
                 .with("Reason", "Q.850;cause=" + cause);
     }
 
-    private void stands(String id) throws IOException, BadInput {
+    private void stands(String id) throws IOException, InvalidInputException {
         offer(id);
         answer(heard("INVITE"), 200);
         heard("ACK");
--- a/src/test/java/wingspread/SipServiceTest.java
+++ b/src/test/java/wingspread/SipServiceTest.java
@@ -38,7 +38,7 @@
 import wingspread.control.CallControl.RepeatGroup;
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 import wingspread.net.UnixClock;
 
 /** TLS on the SIP front, and a change of its certificate while a connection is open. */
@@ -108,7 +108,7 @@
         Metrics metrics = new Metrics();
         SipService service = new SipService(loop, new SipConfig(null, null, address, "", Map.of("", 1),
                 new SipConfig.Acme("http://127.0.0.1:1/", "sip.test", "", address, Path.of("unused"))),
-                List.of(PLAIN), 7, ReconnectFigures.USUAL, event -> { }, metrics);
+                List.of(PLAIN), 7, ReconnectParameters.DEFAULTS, event -> { }, metrics);
         secure(loop, service, certificate("first"));
         try (SSLSocket old = connect(address)) {
             assertEquals("SIP/2.0 200 OK", options(old, 1));
--- a/src/test/java/wingspread/acme/StandInAuthority.java
+++ b/src/test/java/wingspread/acme/StandInAuthority.java
@@ -36,7 +36,7 @@
 import org.jose4j.jws.JsonWebSignature;
 import org.jose4j.lang.JoseException;
 import wingspread.json.Json;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 
 /** An authority of RFC 8555 for one order at a time, on the loopback; it checks signatures, nonces and http-01. */
 final class StandInAuthority implements Closeable {
@@ -92,14 +92,14 @@
             } else {
                 signed(exchange, path);
             }
-        } catch (JoseException | BadInput | ReflectiveOperationException | InterruptedException e) {
+        } catch (JoseException | InvalidInputException | ReflectiveOperationException | InterruptedException e) {
             throw new IOException(e);
         } finally {
             exchange.close();
         }
     }
 
-    private void signed(HttpExchange exchange, String path) throws IOException, JoseException, BadInput,
+    private void signed(HttpExchange exchange, String path) throws IOException, JoseException, InvalidInputException,
             ReflectiveOperationException, InterruptedException {
         Map<?, ?> body = (Map<?, ?>) Json.parse(exchange.getRequestBody().readAllBytes());
         JsonWebSignature jws = new JsonWebSignature();
--- a/src/test/java/wingspread/cli/CliTest.java
+++ b/src/test/java/wingspread/cli/CliTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.compare.Setting;
 import wingspread.lab.scenario.Scenario;
 import wingspread.lab.sim.Streams;
@@ -155,7 +155,7 @@
         assertEquals(0, run("lab", "list", "--figures"));
         String setting = out.toString().lines().skip(1).map(line -> line.split(" +")[0] + "=" + line.split(" +")[1])
                 .collect(Collectors.joining(","));
-        assertEquals(Figures.USUAL.all(), Setting.named(setting).figures().all());
+        assertEquals(ControlParameters.DEFAULTS.all(), Setting.named(setting).figures().all());
     }
 
     @Test
--- a/src/test/java/wingspread/config/StormConfigTest.java
+++ b/src/test/java/wingspread/config/StormConfigTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wingspread.storm.ReconnectFigures;
-import wingspread.storm.StormFigures;
+import wingspread.storm.ReconnectParameters;
+import wingspread.storm.StormParameters;
 import wingspread.toml.TomlException;
 
 class StormConfigTest {
@@ -33,7 +33,7 @@
     /** The shipped file says what is taken where it says nothing. */
     @Test
     void theShippedFileTurnedOnHasTheUsualFigures() throws IOException {
-        StormConfig usual = new StormConfig(StormFigures.USUAL, ReconnectFigures.USUAL);
+        StormConfig usual = new StormConfig(StormParameters.DEFAULTS, ReconnectParameters.DEFAULTS);
         assertEquals(usual, read(Files.readString(Path.of("deploy/storm.toml")).replace("enabled = false",
                 "enabled = true")));
         assertEquals(usual, read("enabled = true"));
@@ -43,8 +43,8 @@
     @Test
     void aFileThatIsOffIsTurnedOnWithItsFiguresAndABadOneIsNot() throws IOException {
         Path off = Files.writeString(folder.resolve("off.toml"), "enabled = false\ndamping.ramp = \"7s\"\n");
-        assertEquals(7_000_000, read(StormConfig.turnedOn(off.toString())).storm().damping().ramp());
-        assertEquals(StormFigures.USUAL, read(StormConfig.turnedOn("usual")).storm());
+        assertEquals(7_000_000, read(StormConfig.turnedOn(off.toString())).storm().damping().rampMicros());
+        assertEquals(StormParameters.DEFAULTS, read(StormConfig.turnedOn("usual")).storm());
         assertThrows(TomlException.class, () -> StormConfig.turnedOn("damping.ramp=\"1\""));
     }
 
@@ -56,10 +56,10 @@
                 returns.redial-time = "0s"
                 reconnects.jitter = 0.5
                 """);
-        assertEquals(StormFigures.Method.GAP, config.storm().damping().method());
-        assertEquals(0, config.storm().returns().redialTime());
+        assertEquals(StormParameters.Method.GAP, config.storm().damping().method());
+        assertEquals(0, config.storm().retryPolicy().redialWindowMicros());
         assertEquals(0.5, config.reconnects().jitter());
-        assertEquals(StormFigures.USUAL.detection(), config.storm().detection());
+        assertEquals(StormParameters.DEFAULTS.detection(), config.storm().detection());
     }
 
     @ParameterizedTest
--- a/src/test/java/wingspread/control/ExchangeLivenessTest.java
+++ b/src/test/java/wingspread/control/ExchangeLivenessTest.java
@@ -18,13 +18,13 @@
 
     /** Carries out the steps until the exchange is down, and returns that time, or -1 if it is not by {@code until}. */
     private static long downAt(ExchangeLiveness liveness, long from, long until, long lateBy) {
-        for (long now = from; now <= until; now = Math.max(now + 1_000, liveness.due(now) + lateBy)) {
-            Step step = liveness.next(now);
+        for (long now = from; now <= until; now = Math.max(now + 1_000, liveness.nextStepAt(now) + lateBy)) {
+            Step step = liveness.nextStep(now);
             if (step == Step.DOWN) {
                 return now;
             }
             if (step == Step.CHECK) {
-                liveness.checked(now);
+                liveness.checkStarted(now);
             }
         }
         return -1;
@@ -41,11 +41,11 @@
     @Property(tries = 200, seed = "21")
     void doesNotReportExchangeDownThatAnswersChecks(@ForAll @LongRange(min = 0, max = 1_000_000) long answerTakes) {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
-        for (long now = START; now < START + 60_000_000; now = Math.max(now + 1_000, liveness.due(now))) {
-            assertFalse(liveness.next(now) == Step.DOWN);
-            if (liveness.next(now) == Step.CHECK) {
-                liveness.checked(now);
-                liveness.heard(now + answerTakes);
+        for (long now = START; now < START + 60_000_000; now = Math.max(now + 1_000, liveness.nextStepAt(now))) {
+            assertFalse(liveness.nextStep(now) == Step.DOWN);
+            if (liveness.nextStep(now) == Step.CHECK) {
+                liveness.checkStarted(now);
+                liveness.messageReceived(now + answerTakes);
                 now += answerTakes;
             }
         }
@@ -55,38 +55,38 @@
     void toleratesPartitionOfSixSeconds() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
         assertEquals(-1, downAt(liveness, START, START + 7_000_000, 0));
-        liveness.heard(START + 7_000_000);
-        assertEquals(Step.WAIT, liveness.next(START + 7_500_000));
+        liveness.messageReceived(START + 7_000_000);
+        assertEquals(Step.WAIT, liveness.nextStep(START + 7_500_000));
     }
 
     /** A host that did not run for some time must not conclude from its own pause that the exchange is down. */
     @Test
     void doesNotReportDownWithoutTimedOutChecks() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
-        assertEquals(Step.CHECK, liveness.next(START + 30_000_000));
+        assertEquals(Step.CHECK, liveness.nextStep(START + 30_000_000));
         for (int i = 0; i < 20; i++) {
-            liveness.notChecked(START + 30_000_000 + i * ExchangeLiveness.CHECK_INTERVAL_MICROS);
-            assertFalse(liveness.next(START + 40_000_000) == Step.DOWN);
+            liveness.checkSkipped(START + 30_000_000 + i * ExchangeLiveness.CHECK_INTERVAL_MICROS);
+            assertFalse(liveness.nextStep(START + 40_000_000) == Step.DOWN);
         }
         long later = START + 50_000_000;
         for (int i = 0; i < ExchangeLiveness.MIN_CHECKS; i++) {
-            liveness.checked(later);
+            liveness.checkStarted(later);
         }
-        assertFalse(liveness.next(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS - 1) == Step.DOWN);
-        assertEquals(Step.DOWN, liveness.next(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS));
+        assertFalse(liveness.nextStep(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS - 1) == Step.DOWN);
+        assertEquals(Step.DOWN, liveness.nextStep(later + ExchangeLiveness.CHECK_TIMEOUT_MICROS));
     }
 
     @Test
     void checksSoonerDuringShutdown() {
         ExchangeLiveness liveness = new ExchangeLiveness(START);
-        assertEquals(Step.WAIT, liveness.next(START + 300_000));
-        liveness.hurry();
-        assertEquals(Step.CHECK, liveness.next(START + 300_000));
-        assertFalse(liveness.suspect(START + 300_000));
-        liveness.checked(START + 300_000);
-        assertFalse(liveness.suspect(START + 599_999));
-        assertTrue(liveness.suspect(START + 600_000));
-        liveness.heard(START + 710_000);
-        assertFalse(liveness.suspect(START + 800_000));
+        assertEquals(Step.WAIT, liveness.nextStep(START + 300_000));
+        liveness.beginShutdown();
+        assertEquals(Step.CHECK, liveness.nextStep(START + 300_000));
+        assertFalse(liveness.isUnresponsive(START + 300_000));
+        liveness.checkStarted(START + 300_000);
+        assertFalse(liveness.isUnresponsive(START + 599_999));
+        assertTrue(liveness.isUnresponsive(START + 600_000));
+        liveness.messageReceived(START + 710_000);
+        assertFalse(liveness.isUnresponsive(START + 800_000));
     }
 }
--- a/src/test/java/wingspread/control/RecordingHost.java
+++ b/src/test/java/wingspread/control/RecordingHost.java
@@ -60,7 +60,7 @@
     static RecordingHost network(int others, long seed) {
         RecordingHost host = new RecordingHost();
         host.control = new WindowControl(host.now, settings(Layout.NETWORK, Effect.SAFE, false, others + 1),
-                Figures.USUAL, seed, host);
+                ControlParameters.DEFAULTS, seed, host);
         List<Exchange> list = new ArrayList<>();
         for (int place = 0; place <= others; place++) {
             list.add(exchange(place, Readiness.READY, 0));
@@ -70,10 +70,10 @@
     }
 
     void start(Settings settings) {
-        start(settings, Figures.USUAL);
+        start(settings, ControlParameters.DEFAULTS);
     }
 
-    void start(Settings settings, Figures figures) {
+    void start(Settings settings, ControlParameters figures) {
         control = new WindowControl(now, settings, figures, 42, this);
     }
 
@@ -128,13 +128,13 @@
 
     void answer(Send send, Status status, Cause cause) {
         control.onOutcome(now, new Outcome(send.call(), attempts.get(send.call()), status == Status.OK,
-                send.exchange(), now - send.at(), status, cause, 0, Report.NOTHING));
+                send.exchange(), now - send.at(), status, cause, 0, Report.EMPTY));
     }
 
     /** Establishes the call of the last set-up, and ends the call at once. */
     void establish() {
         Send send = lastSend();
-        control.onStood(now, send.call(), attempts.get(send.call()), send.exchange(), now - send.at());
+        control.onCallEstablished(now, send.call(), attempts.get(send.call()), send.exchange(), now - send.at());
         answer(send, Status.OK, Cause.NONE);
     }
 
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         timers.add(new Timer(at, nextOrder++, token));
     }
 
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         actions.add("tell " + peer);
     }
 
--- a/src/test/java/wingspread/control/RulesTest.java
+++ b/src/test/java/wingspread/control/RulesTest.java
@@ -288,15 +288,15 @@
     void ignoresUnexpectedEvents() {
         RecordingHost host = RecordingHost.network(1);
         host.control.onOutcome(host.now, new Outcome(99, 0, false, 1, 0, Status.FULL, Cause.NONE, 0,
-                Report.NOTHING));
-        host.control.onStood(host.now, 99, 0, 1, 0);
-        host.control.onDropped(host.now, 99);
+                Report.EMPTY));
+        host.control.onCallEstablished(host.now, 99, 0, 1, 0);
+        host.control.onCallDropped(host.now, 99);
         host.control.onTimer(host.now, 99);
-        host.control.onReport(host.now, 99, Status.OK, 0, Report.NOTHING);
+        host.control.onReport(host.now, 99, Status.OK, 0, Report.EMPTY);
         host.control.onPeer(host.now, 3, new byte[] {1, 2});
         assertEquals(List.of(), host.actions);
         long call = host.call(1);
-        host.control.onDropped(host.now, call);
+        host.control.onCallDropped(host.now, call);
         host.answer(Status.CANCELLED, Cause.NONE);
         host.answer(Status.CANCELLED, Cause.NONE);
         host.advance(5 * RecordingHost.SECOND_MICROS);
--- a/src/test/java/wingspread/core/PlannedEndTest.java
+++ b/src/test/java/wingspread/core/GracefulShutdownTest.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import wingspread.core.PlannedEnd.Step;
+import wingspread.core.GracefulShutdown.Step;
 
-class PlannedEndTest {
+class GracefulShutdownTest {
     private static final long MICROS_PER_MS = 1_000;
     private static final long SIGTERM_AT = 1_000_000_000;
 
-    private static PlannedEnd withMaxDeadline(long deadlineMs) {
-        return new PlannedEnd(SIGTERM_AT, deadlineMs * MICROS_PER_MS);
+    private static GracefulShutdown withMaxDeadline(long deadlineMs) {
+        return new GracefulShutdown(SIGTERM_AT, deadlineMs * MICROS_PER_MS);
     }
 
     /**
@@ -21,11 +21,11 @@
      * are milliseconds after SIGTERM; one call is established until the first one, and one caller connection is open
      * until the second one.
      */
-    private static List<String> runShutdown(PlannedEnd shutdown, long establishedUntil, long connectedUntil) {
+    private static List<String> runShutdown(GracefulShutdown shutdown, long establishedUntil, long connectedUntil) {
         return runShutdown(shutdown, 0, establishedUntil, connectedUntil);
     }
 
-    private static List<String> runShutdown(PlannedEnd shutdown, long unansweredUntil, long establishedUntil,
+    private static List<String> runShutdown(GracefulShutdown shutdown, long unansweredUntil, long establishedUntil,
             long connectedUntil) {
         List<String> steps = new ArrayList<>();
         Step previous = Step.SERVE;
@@ -80,8 +80,8 @@
     void answersAllCallsAndExitsBeforeSigkillForAnyDeadline() {
         for (long deadline : new long[] {100, 300, 400, 1_000, 1_500, 3_000, 4_630, 9_000}) {
             long killMs = Math.min(3_000, deadline) + 700;
-            PlannedEnd shutdown = withMaxDeadline(deadline);
-            assertTrue(shutdown.lastAnswer() < SIGTERM_AT + (killMs - 200) * MICROS_PER_MS,
+            GracefulShutdown shutdown = withMaxDeadline(deadline);
+            assertTrue(shutdown.answerDeadline() < SIGTERM_AT + (killMs - 200) * MICROS_PER_MS,
                     () -> "deadline " + deadline);
             List<String> steps = runShutdown(shutdown, 10_000, 10_000);
             assertEquals("LEAVE " + (killMs - 100), steps.get(steps.size() - 1));
--- a/src/test/java/wingspread/core/PlannerTest.java
+++ b/src/test/java/wingspread/core/PlannerTest.java
@@ -20,9 +20,9 @@
 import wingspread.control.CallControl.Reports;
 import wingspread.control.CallControl.Settings;
 import wingspread.control.CallControl.Status;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.metrics.Metrics;
-import wingspread.storm.StormFigures;
+import wingspread.storm.StormParameters;
 
 /** Tests the planner between a recording caller and a recording exchange, on a manual clock. */
 class PlannerTest {
@@ -37,14 +37,14 @@
     private Planner planner;
     private boolean nextProcessCanNotify = true;
 
-    private final class RecordingEndpoint implements Exchanges, Caller, Caller.Strangers {
+    private final class RecordingEndpoint implements ExchangeTransport, Caller, Caller.UnknownCallListener {
         @Override
         public void invite(Attempt attempt) {
             recorded.add("invite " + attempt.request().id() + " " + attempt.exchange());
         }
 
         @Override
-        public void withdraw(Attempt attempt) {
+        public void cancelAttempt(Attempt attempt) {
             recorded.add("cancel " + attempt.request().id());
         }
 
@@ -59,44 +59,44 @@
         }
 
         @Override
-        public boolean check(long exchange) {
+        public boolean checkLiveness(long exchange) {
             checks.add(exchange);
             return true;
         }
 
         @Override
-        public void stands(byte[] description) {
+        public void onEstablished(byte[] description) {
             recorded.add("established " + description.length);
         }
 
         @Override
-        public void givenUp() {
+        public void onAbandoned() {
             recorded.add("abandoned");
         }
 
         @Override
-        public void refused(long wait) {
+        public void onRefused(long wait) {
             lastWait = wait;
             recorded.add("refused");
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             recorded.add("failed");
         }
 
         @Override
-        public boolean outlivesRestart() {
+        public boolean survivesRestart() {
             return nextProcessCanNotify;
         }
 
         @Override
-        public void over(String call, int cause) {
+        public void onEnded(String call, int cause) {
             recorded.add("unknown call ended " + call + " " + cause);
         }
 
         @Override
-        public void over(int cause) {
+        public void onEnded(int cause) {
             recorded.add("ended " + cause);
         }
     }
@@ -111,7 +111,7 @@
         settings = new Settings(Layout.NETWORK, 0, 0, 0, 3, List.of(plain), false, Reports.PIGGYBACK,
                 false, false, true, false, false, true, 2_000_000, 6, 200_000, 0,
                 new Obligations(20_000, 500_000, 0, 0.3, 14_000_000, 2, 1_000_000));
-        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 3, endpoint, endpoint, new Metrics());
+        planner = new Planner(() -> now, settings, ControlParameters.DEFAULTS, 7, 3, endpoint, endpoint, new Metrics());
         planner.post(new Event.Listed(ListKind.CACHED, List.of(exchange(1, Readiness.READY, 0),
                 exchange(2, Readiness.READY, 0))));
         planner.post(new Event.Reported(1, reportWithFree(20)));
@@ -155,8 +155,8 @@
     @Test
     void refusesOnlyRedialsDuringStormAndAdvisesAWait() {
         Metrics metrics = new Metrics();
-        planner = new Planner(() -> now, settings, Figures.USUAL, 7, 1_000, endpoint, endpoint, metrics,
-                StormFigures.USUAL);
+        planner = new Planner(() -> now, settings, ControlParameters.DEFAULTS, 7, 1_000, endpoint, endpoint, metrics,
+                StormParameters.DEFAULTS);
         for (int i = 0; i < 200; i++) {
             now += 10_000;
             offer("redial" + i, true, false);
@@ -190,15 +190,15 @@
         assertRecorded("established 6");
         advance(TIME_LEFT_MICROS);
         assertRecorded();
-        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        process(new Event.Released(1, "a", 16, Report.EMPTY));
         assertRecorded("ended 16");
-        assertEquals(0, planner.unanswered());
+        assertEquals(0, planner.unansweredCalls());
     }
 
     @Test
     void acceptsAnswerToSecondAttemptAtSameExchange() {
         offer("a");
-        process(new Event.Rejected(1, "a", Status.ERROR, Cause.NONE, Report.NOTHING));
+        process(new Event.Rejected(1, "a", Status.ERROR, Cause.NONE, Report.EMPTY));
         process(new Event.Answered(1, "a", DESCRIPTION));
         assertRecorded("invite a 1", "invite a 1", "established 6");
     }
@@ -215,7 +215,7 @@
     @Test
     void confirmsAbandonedCallOnceAndCancelsItsSetUp() {
         offer("a");
-        process(new Event.GivenUp("a", endpoint));
+        process(new Event.CallerAbandoned("a", endpoint));
         assertRecorded("invite a 1", "abandoned", "cancel a");
         process(new Event.Answered(1, "a", DESCRIPTION));
         assertRecorded("release a 16");
@@ -227,7 +227,7 @@
             String id = "w" + i;
             planner.post(new Event.Offered(new Request(id, "plain", 0, "ab", DESCRIPTION, now + TIME_LEFT_MICROS, 1, 1,
                     -1, false, false, false), endpoint));
-            process(new Event.GivenUp(id, endpoint));
+            process(new Event.CallerAbandoned(id, endpoint));
             advance(1);
             assertRecorded("abandoned");
         }
@@ -239,24 +239,24 @@
     void ignoresAbandonmentByAnotherCallerWithSameCallId() {
         RecordingEndpoint other = new RecordingEndpoint();
         offer("a");
-        process(new Event.GivenUp("a", other));
+        process(new Event.CallerAbandoned("a", other));
         assertRecorded("invite a 1");
         process(new Event.Answered(1, "a", DESCRIPTION));
-        process(new Event.GivenUp("a", other));
+        process(new Event.CallerAbandoned("a", other));
         assertRecorded("established 6");
-        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        process(new Event.Released(1, "a", 16, Report.EMPTY));
         assertRecorded("ended 16");
     }
 
     @Test
     void passesOnReleaseOfCallFromBeforeRestartOnce() {
-        process(new Event.Released(1, "before", 16, Report.NOTHING));
-        process(new Event.Released(1, "before", 16, Report.NOTHING));
+        process(new Event.Released(1, "before", 16, Report.EMPTY));
+        process(new Event.Released(1, "before", 16, Report.EMPTY));
         assertRecorded("unknown call ended before 16");
         offer("a");
         process(new Event.Answered(1, "a", DESCRIPTION));
-        process(new Event.Released(1, "a", 16, Report.NOTHING));
-        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        process(new Event.Released(1, "a", 16, Report.EMPTY));
+        process(new Event.Released(1, "a", 16, Report.EMPTY));
         assertRecorded("invite a 1", "established 6", "ended 16");
     }
 
@@ -280,16 +280,16 @@
     void answersEveryCallByTheShutdownDeadline() {
         offerInTransit("open");
         assertRecorded("invite open 1");
-        planner.answerBy(now + TIME_LEFT_MICROS);
+        planner.setAnswerDeadline(now + TIME_LEFT_MICROS);
         advance(TIME_LEFT_MICROS / 2);
         offerInTransit("late");
         assertRecorded("invite late 1");
         advance(TIME_LEFT_MICROS / 2 - 1);
-        assertEquals(1, planner.unanswered());
+        assertEquals(1, planner.unansweredCalls());
         recorded.clear();
         advance(1);
         assertRecorded("failed", "cancel open");
-        assertEquals(0, planner.unanswered());
+        assertEquals(0, planner.unansweredCalls());
         process(new Event.Answered(1, "open", DESCRIPTION));
         assertRecorded("release open 16");
     }
@@ -298,10 +298,10 @@
     void releasesExchangeOnceWhenCallerReleasesEstablishedCall() {
         offer("a");
         process(new Event.Answered(1, "a", DESCRIPTION));
-        process(new Event.CallerEnded("a", 31));
+        process(new Event.CallerReleased("a", 31));
         assertRecorded("invite a 1", "established 6", "release a 31");
-        process(new Event.CallerEnded("a", 31));
-        process(new Event.CallerEnded("unknown", 16));
+        process(new Event.CallerReleased("a", 31));
+        process(new Event.CallerReleased("unknown", 16));
         assertRecorded();
     }
 
@@ -326,16 +326,16 @@
     void cutsOnlyCallsThroughExchangeThatGoesDown() {
         offer("a");
         process(new Event.Answered(1, "a", DESCRIPTION));
-        process(new Event.Died(2));
+        process(new Event.ExchangeDown(2));
         assertRecorded("invite a 1", "established 6");
-        process(new Event.Died(1));
+        process(new Event.ExchangeDown(1));
         assertRecorded("ended 41");
     }
 
     @Test
     void refusesNewCallsWhileDrainingAndContinuesOpenOnes() {
         offer("a");
-        planner.refuseNew();
+        planner.refuseNewCalls();
         offer("b");
         process(new Event.Answered(1, "a", DESCRIPTION));
         assertRecorded("invite a 1", "refused", "established 6");
@@ -371,7 +371,7 @@
         recorded.clear();
         for (int i = 0; i < 20; i++) {
             advanceInSteps(3_000_000);
-            process(i % 2 == 0 ? new Event.Heard(1) : new Event.Reported(1, reportWithFree(19), now));
+            process(i % 2 == 0 ? new Event.ExchangeAlive(1) : new Event.Reported(1, reportWithFree(19), now));
         }
         assertRecorded();
         assertTrue(checks.stream().allMatch(exchange -> exchange == 1), checks::toString);
@@ -387,7 +387,7 @@
         // One of the two calls has ended in the meantime; its release follows on the new connection.
         advance(200_000);
         process(new Event.Reported(1, reportWithFree(19), now));
-        process(new Event.Released(1, "a", 16, Report.NOTHING));
+        process(new Event.Released(1, "a", 16, Report.EMPTY));
         advanceInSteps(600_000);
         assertRecorded("ended 16");
         process(new Event.Reported(1, reportWithFree(20)));
@@ -407,7 +407,7 @@
         offer("a");
         process(new Event.Answered(1, "a", DESCRIPTION));
         recorded.clear();
-        planner.answerBy(now + 3_000_000);
+        planner.setAnswerDeadline(now + 3_000_000);
         advanceInSteps(700_000);
         assertTrue(!checks.isEmpty());
         planner.handOver();
@@ -430,7 +430,7 @@
         offer("a");
         advance(TIME_LEFT_MICROS);
         recorded.clear();
-        process(new Event.Rejected(1, "a", Status.FULL, Cause.PROCESSOR_FULL, Report.NOTHING));
+        process(new Event.Rejected(1, "a", Status.FULL, Cause.PROCESSOR_FULL, Report.EMPTY));
         assertRecorded();
     }
 }
--- a/src/test/java/wingspread/directory/DirectoryDelayTest.java
+++ b/src/test/java/wingspread/directory/DirectoryDelayTest.java
@@ -64,7 +64,7 @@
         void run(long until) {
             while (events.next() <= until) {
                 now = events.next();
-                events.playOne();
+                events.runNext();
             }
             now = until;
         }
--- a/src/test/java/wingspread/directory/DirectoryTest.java
+++ b/src/test/java/wingspread/directory/DirectoryTest.java
@@ -28,7 +28,7 @@
 import wingspread.control.CallControl.ListKind;
 import wingspread.control.CallControl.Readiness;
 import wingspread.json.Json;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.Loop;
 import wingspread.net.UnixClock;
 import wingspread.testing.Fuzz;
@@ -109,7 +109,7 @@
         return u16(queries.get(queries.size() - 1));
     }
 
-    private int loadCached() throws BadInput {
+    private int loadCached() throws InvalidInputException {
         client.loadCached((Map<?, ?>) Json.parse(("{\"rev\":4,\"notices\":[{\"rev\":1,\"pool\":{\"all\":true,"
                 + "\"targets\":["
                 + "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.9:3868\",\"az\":\"east\",\"model\":\"std\",\"pod_group\":2,"
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void reportsCachedListAndEachChangeOnceAndForgetsRemovedUids() throws BadInput {
+    void reportsCachedListAndEachChangeOnceAndForgetsRemovedUids() throws InvalidInputException {
         int id = loadCached();
         receive(response(id, 1, 5, true));
         receive(response(id, 1, 5, true));
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void acceptsLateResponseUntilItsQueryExpires() throws BadInput {
+    void acceptsLateResponseUntilItsQueryExpires() throws InvalidInputException {
         int first = loadCached();
         queryList();
         receive(response(first, 1, 5, true));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void keepsExchangesMissingFromTruncatedResponse() throws BadInput {
+    void keepsExchangesMissingFromTruncatedResponse() throws InvalidInputException {
         int id = loadCached();
         byte[] empty = response(id, 0, 9, false);
         empty[2] |= 2;
@@ -180,7 +180,7 @@
                 DatagramSocket udp = new DatagramSocket(tcp.getLocalPort(), local)) {
             tcp.setSoTimeout(10_000);
             udp.setSoTimeout(10_000);
-            loop.execute(() -> directory.follow((InetSocketAddress) tcp.getLocalSocketAddress()));
+            loop.execute(() -> directory.setServer((InetSocketAddress) tcp.getLocalSocketAddress()));
             DatagramPacket question = new DatagramPacket(new byte[512], 512);
             udp.receive(question);
             byte[] part = response(u16(question.getData()), 0, 9, false);
@@ -231,7 +231,7 @@
     }
 
     @Test
-    void skipsNewExchangeWithoutHostRecordsUntilTheyAreResolved() throws BadInput {
+    void skipsNewExchangeWithoutHostRecordsUntilTheyAreResolved() throws InvalidInputException {
         assertEquals(List.of("a 2 READY"),
                 states(roster.applyResponse(list(1, false, srv("a", 0), address("a"), attributes("a")))));
         // A known exchange still changes its state; a new one waits for its host records, and no exchange is removed.
@@ -252,7 +252,7 @@
      * not make the exchange ready again.
      */
     @Test
-    void keepsDrainingAfterOvertakenTruncatedList() throws BadInput {
+    void keepsDrainingAfterOvertakenTruncatedList() throws InvalidInputException {
         roster.applyResponse(list(1, false, srv("a", 0), address("a"), attributes("a")));
         assertEquals(List.of("a 2 DRAINING"), states(roster.applyResponse(list(3, true, srv("a", 1)))));
         assertEquals(List.of(), states(roster.applyResponse(list(2, true, srv("a", 0)))));
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void readsThousandExchangesFromOneListAndFromParts() throws BadInput {
+    void readsThousandExchangesFromOneListAndFromParts() throws InvalidInputException {
         List<DnsMessage.Record> whole = new ArrayList<>();
         for (int i = 0; i < 1_024; i++) {
             whole.addAll(List.of(srv("s-" + i, 0), address("s-" + i), attributes("s-" + i)));
@@ -285,6 +285,6 @@
     void rejectsCutMessage(@ForAll byte cut) {
         byte[] whole = response(99, 0, 9, true);
         byte[] part = Arrays.copyOf(whole, (cut & 0xff) % whole.length);
-        assertThrows(BadInput.class, () -> DnsMessage.parse(part));
+        assertThrows(InvalidInputException.class, () -> DnsMessage.parse(part));
     }
 }
--- a/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
+++ b/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.control.CallControl.Exchange;
 import wingspread.control.CallControl.Layout;
 import wingspread.control.CallControl.ListKind;
@@ -33,15 +33,15 @@
 import wingspread.control.CallControl.Settings;
 import wingspread.core.Attempt;
 import wingspread.core.Event;
-import wingspread.core.Exchanges;
+import wingspread.core.ExchangeTransport;
 import wingspread.core.Planner;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
 import wingspread.sip.Timers;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /**
  * SIP callers over real UDP datagrams on the loopback interface, through front end, planner and control module, to a
@@ -63,7 +63,7 @@
     private int duplicateAttempts;
 
     /** An exchange whose answers are posted by the test. */
-    private final class StandInExchange implements Exchanges {
+    private final class StandInExchange implements ExchangeTransport {
         @Override
         public void invite(Attempt attempt) {
             duplicateAttempts += invitedCalls.add(attempt.request().id()) ? 0 : 1;
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void withdraw(Attempt attempt) {
+        public void cancelAttempt(Attempt attempt) {
             pendingAttempts.remove(attempt);
         }
 
@@ -86,7 +86,7 @@
         }
 
         @Override
-        public boolean check(long exchange) {
+        public boolean checkLiveness(long exchange) {
             return false;
         }
     }
@@ -180,7 +180,7 @@
         }
     }
 
-    private void deliverDue() throws IOException, BadInput {
+    private void deliverDue() throws IOException, InvalidInputException {
         for (DelayedDatagram datagram : List.copyOf(delayed)) {
             if (datagram.deliverAt() <= clock.get()) {
                 delayed.remove(datagram);
@@ -212,7 +212,7 @@
         NioEventLoop eventLoop = (NioEventLoop) loop.group().next();
         CompletableFuture<Void> done = new CompletableFuture<>();
         eventLoop.execute(() -> eventLoop.executeAfterEventLoopIteration(() -> eventLoop.execute(() -> {
-            loop.wantTurn();
+            loop.requestTurn();
             eventLoop.executeAfterEventLoopIteration(() -> done.complete(null));
         })));
         done.get(10, TimeUnit.SECONDS);
@@ -225,7 +225,7 @@
                 if (random.nextDouble() < 0.15) {
                     pendingAttempts.remove(attempt);
                     planner.post(new Event.Answered(attempt.exchange(), attempt.request().id(), new byte[] {'v'}));
-                    loop.wantTurn();
+                    loop.requestTurn();
                 }
             }
             done.complete(null);
@@ -241,9 +241,9 @@
         planner = planner();
         Timers timers = new Timers(clock::get);
         SipFront front = new SipFront(timers, SipFrontTest.CONFIG, SipFrontTest.CLASSES, seed, planner::post, metrics);
-        SipListener listener = new SipListener(loop, front, ReconnectFigures.OFF, new Metrics());
-        loop.serve(timers);
-        loop.serve(planner);
+        SipListener listener = new SipListener(loop, front, ReconnectParameters.OFF, new Metrics());
+        loop.addWorker(timers);
+        loop.addWorker(planner);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         frontAddress = (InetSocketAddress) listener.listenUdp(anyPort).sync().channel().localAddress();
         try (DatagramChannel opened = DatagramChannel.open()) {
@@ -284,7 +284,7 @@
         Settings settings = new Settings(Layout.NETWORK, 0, 0, 0, 3, SipFrontTest.CLASSES, false, Reports.PIGGYBACK,
                 false, false, true, false, false, true, 2_000_000, 6, 200_000, 0,
                 new Obligations(20_000, 500_000, 0, 0.3, 14_000_000, 2, 1_000_000));
-        Planner created = new Planner(clock::get, settings, Figures.USUAL, 7, 100, new StandInExchange(),
+        Planner created = new Planner(clock::get, settings, ControlParameters.DEFAULTS, 7, 100, new StandInExchange(),
                 (call, cause) -> { }, metrics);
         created.post(new Event.Listed(ListKind.CACHED,
                 List.of(new Exchange(1, 0, 0, 1, Readiness.READY, 1, 0))));
--- a/src/test/java/wingspread/front/sip/SipFrontTest.java
+++ b/src/test/java/wingspread/front/sip/SipFrontTest.java
@@ -119,7 +119,7 @@
     @Test
     void resendsSuccessResponseUntilAck() {
         receive(invite());
-        offered().caller().stands(SDP);
+        offered().caller().onEstablished(SDP);
         String to = to();
         advance(1_600_000);
         assertEquals(List.of(100, 200, 200, 200), statuses());
@@ -129,7 +129,7 @@
         receive(message("BYE", "3", to));
         receive(message("BYE", "3", to));
         assertEquals(List.of(200, 200), statuses());
-        assertEquals(new Event.CallerEnded(offered().request().id(), 16), events.get(1));
+        assertEquals(new Event.CallerReleased(offered().request().id(), 16), events.get(1));
         assertEquals(2, events.size());
         receive(message("BYE", "4", to));
         assertEquals(List.of(481), statuses());
@@ -138,7 +138,7 @@
     @Test
     void resendsRefusalWithRetryAfterUntilAck() {
         receive(invite());
-        offered().caller().refused(1_200_000);
+        offered().caller().onRefused(1_200_000);
         assertEquals("2", sent.get(1).header("Retry-After"));
         advance(600_000);
         receive(invite());
@@ -152,7 +152,7 @@
     void sendsFinalResponseOnceOverReliableTransport() {
         reliable = true;
         receive(invite());
-        offered().caller().failed();
+        offered().caller().onFailed();
         advance(10_000_000);
         assertEquals(List.of(100, 480), statuses());
     }
@@ -162,14 +162,14 @@
         receive(invite());
         receive(message("CANCEL", "1", "<sip:7123@net>"));
         assertEquals(List.of(100, 200, 487), statuses());
-        assertEquals(new Event.GivenUp(offered().request().id(), offered().caller()), events.get(1));
+        assertEquals(new Event.CallerAbandoned(offered().request().id(), offered().caller()), events.get(1));
 
         SipMessage second = message("INVITE", "5", "<sip:7123@net>");
         second.headers().replaceAll(header ->
                 header.name().equals("Call-ID") ? new SipMessage.Header("Call-ID", "c2") : header);
         receive(second);
         assertInstanceOf(Event.Offered.class, events.get(2));
-        ((Event.Offered) events.get(2)).caller().stands(SDP);
+        ((Event.Offered) events.get(2)).caller().onEstablished(SDP);
         receive(message("CANCEL", "5", "<sip:7123@net>"));
         assertEquals(List.of(100, 200, 200), statuses());
         assertEquals(3, events.size());
@@ -178,9 +178,9 @@
     @Test
     void sendsByeAfterAckAndResendsItUntilAnswered() {
         receive(invite());
-        offered().caller().stands(SDP);
+        offered().caller().onEstablished(SDP);
         String to = to();
-        offered().caller().over(41);
+        offered().caller().onEnded(41);
         assertTrue(sent.stream().noneMatch(SipMessage::isRequest));
         receive(message("ACK", "2", to));
         advance(600_000);
@@ -198,10 +198,10 @@
     @Test
     void releasesCallThatIsNeverAcknowledged() {
         receive(invite());
-        offered().caller().stands(SDP);
+        offered().caller().onEstablished(SDP);
         advance(33_000_000);
         assertTrue(sent.stream().anyMatch(message -> "BYE".equals(message.method())));
-        assertEquals(new Event.CallerEnded(offered().request().id(), 102), events.get(1));
+        assertEquals(new Event.CallerReleased(offered().request().id(), 102), events.get(1));
         assertEquals(0, front.openCalls());
     }
 
@@ -232,6 +232,6 @@
     void cancelsPendingSetUpsOfClosedConnection() {
         receive(invite());
         front.peerDisconnected(peer);
-        assertEquals(new Event.GivenUp(offered().request().id(), offered().caller()), events.get(1));
+        assertEquals(new Event.CallerAbandoned(offered().request().id(), offered().caller()), events.get(1));
     }
 }
--- a/src/test/java/wingspread/json/LineDecoderTest.java
+++ b/src/test/java/wingspread/json/LineDecoderTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.testing.Fuzz;
 
 /** Decoding of JSON lines, valid, cut into pieces and malformed. */
@@ -23,7 +23,7 @@
     }
 
     @Property(tries = 300, seed = "21")
-    void decodesStreamCutAtAnyPosition(@ForAll long seed) throws BadInput {
+    void decodesStreamCutAtAnyPosition(@ForAll long seed) throws InvalidInputException {
         List<Map<?, ?>> messages = Fuzz.cut(decoder, bytes(OFFER + OFFER), seed);
         assertEquals(2, messages.size());
         assertEquals(messages.get(0), messages.get(1));
@@ -37,7 +37,7 @@
     }
 
     @Property(tries = 300, seed = "23")
-    boolean quotedStringParsesToTheSame(@ForAll byte[] any) throws BadInput {
+    boolean quotedStringParsesToTheSame(@ForAll byte[] any) throws InvalidInputException {
         String text = new String(any, StandardCharsets.ISO_8859_1);
         StringBuilder quoted = new StringBuilder();
         Json.quote(quoted, text);
@@ -48,7 +48,7 @@
     void rejectsMalformedLines() {
         for (String text : List.of("[]\n", "{}x\n", "{\"a\":1,\"a\":2}\n", "{\"a\":\"\\ud800\"}\n", "\n",
                 "x".repeat(17_000), "[".repeat(500) + "\n")) {
-            assertThrows(BadInput.class, () -> decoder.next(bytes(text), 0, text.length()));
+            assertThrows(InvalidInputException.class, () -> decoder.next(bytes(text), 0, text.length()));
         }
     }
 }
--- a/src/test/java/wingspread/lab/ModelTest.java
+++ b/src/test/java/wingspread/lab/ModelTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.StubController.Vice;
 import wingspread.lab.host.Controller;
 import wingspread.lab.host.LocalSoftswitches;
@@ -33,11 +33,11 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.lab.sim.Streams;
 import wingspread.lab.world.Model;
-import wingspread.storm.StormFigures;
+import wingspread.storm.StormParameters;
 
 /** The model against what is known by hand, against itself, and against softswitches that break the rules. */
 class ModelTest {
-    private static final Controller.Maker PLANNER = PlannerController.with(Figures.USUAL);
+    private static final Controller.Maker PLANNER = PlannerController.with(ControlParameters.DEFAULTS);
     /** One pair of exchanges, circuits the only thing that is scarce. */
     private static final String ONE_GROUP = """
             length = "2000s"
@@ -192,7 +192,7 @@
         for (long seed = 0; seed < 3; seed++) {
             assertEquals(List.of(), play(Scenario.named(name), PLANNER, seed).breaches());
             assertEquals(List.of(), play(Scenario.named(name).with("callers.redials = 3"),
-                    PlannerController.with(Figures.USUAL, StormFigures.USUAL), seed).breaches());
+                    PlannerController.with(ControlParameters.DEFAULTS, StormParameters.DEFAULTS), seed).breaches());
         }
     }
 
--- a/src/test/java/wingspread/lab/StubController.java
+++ b/src/test/java/wingspread/lab/StubController.java
@@ -11,7 +11,7 @@
 import wingspread.core.AttemptFixture;
 import wingspread.core.Caller;
 import wingspread.core.Event;
-import wingspread.core.Exchanges;
+import wingspread.core.ExchangeTransport;
 import wingspread.core.Request;
 import wingspread.lab.host.Controller;
 
@@ -24,7 +24,7 @@
 
     private final LongSupplier clock;
     private final Settings settings;
-    private final Exchanges exchanges;
+    private final ExchangeTransport exchanges;
     private final Vice vice;
     private final ArrayDeque<Event> inbox = new ArrayDeque<>();
     private final ArrayDeque<Attempt> out = new ArrayDeque<>();
@@ -32,7 +32,7 @@
     private final Map<String, Attempt> last = new HashMap<>();
     private final Map<Integer, Long> addresses = new HashMap<>();
 
-    private StubController(LongSupplier clock, Settings settings, Exchanges exchanges, Vice vice) {
+    private StubController(LongSupplier clock, Settings settings, ExchangeTransport exchanges, Vice vice) {
         this.clock = clock;
         this.settings = settings;
         this.exchanges = exchanges;
@@ -61,11 +61,11 @@
         while (nextDue() <= clock.getAsLong()) {
             Attempt attempt = out.remove();
             if (last.get(attempt.request().id()) == attempt && callers.containsKey(attempt.request().id())) {
-                exchanges.withdraw(attempt);
+                exchanges.cancelAttempt(attempt);
                 if (vice == Vice.AGAIN_AT_ONCE) {
                     send(attempt.request(), attempt.request().destination());
                 } else {
-                    callers.remove(attempt.request().id()).failed();
+                    callers.remove(attempt.request().id()).onFailed();
                 }
             }
         }
@@ -81,19 +81,19 @@
             Caller caller = callers.remove(e.call());
             if (caller != null) {
                 callers.put(e.call() + " stands", caller);
-                caller.stands(e.description());
+                caller.onEstablished(e.description());
                 if (vice == Vice.TWO_ANSWERS) {
-                    caller.stands(e.description());
+                    caller.onEstablished(e.description());
                 }
             }
         } else if (event instanceof Event.Rejected e) {
             refuse(e.call(), e.status());
-        } else if (event instanceof Event.Broken e) {
+        } else if (event instanceof Event.AttemptAborted e) {
             refuse(e.attempt().request().id(), e.status());
         } else if (event instanceof Event.Released e) {
             Caller caller = callers.remove(e.call() + " stands");
             if (caller != null) {
-                caller.over(e.cause());
+                caller.onEnded(e.cause());
             }
         } else if (event instanceof Event.Listed e) {
             e.entries().stream().filter(x -> vice == Vice.DEAF_TO_DRAINS
@@ -108,7 +108,7 @@
     private void refuse(String call, Status status) {
         Caller caller = callers.remove(call);
         if (caller != null) {
-            caller.refused(status == Status.FULL ? 1 : 0);
+            caller.onRefused(status == Status.FULL ? 1 : 0);
         }
     }
 
--- a/src/test/java/wingspread/lab/compare/CompareTest.java
+++ b/src/test/java/wingspread/lab/compare/CompareTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.Experiment;
 import wingspread.lab.compare.Comparer.Variant;
 import wingspread.lab.compare.Comparison.Verdict;
@@ -145,13 +145,13 @@
 
     @Test
     void timesInASettingAreMicrosecondsInTheFigures() {
-        Figures figures = Setting.named("silent-gap=250ms,silent-gap-max=3s,tandems=1").figures();
+        ControlParameters figures = Setting.named("silent-gap=250ms,silent-gap-max=3s,tandems=1").figures();
         assertEquals(250_000, value(figures, "silent-gap"));
         assertEquals(3_000_000, value(figures, "silent-gap-max"));
         assertEquals(1, value(figures, "tandems"));
     }
 
-    private static double value(Figures figures, String name) {
+    private static double value(ControlParameters figures, String name) {
         return figures.all().stream().filter(f -> f.name().equals(name)).findFirst().orElseThrow().value();
     }
 
--- a/src/test/java/wingspread/lab/host/HostTest.java
+++ b/src/test/java/wingspread/lab/host/HostTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.scenario.Scenario;
 import wingspread.lab.sim.Streams;
 import wingspread.lab.world.Model;
@@ -41,7 +41,7 @@
         return new HostLoop("test", figures -> new LocalSoftswitches(PlannerController.with(figures)));
     }
 
-    private static RemoteSoftswitches overPipes(Figures figures) throws IOException {
+    private static RemoteSoftswitches overPipes(ControlParameters figures) throws IOException {
         PipedInputStream toHost = new PipedInputStream(PIPE);
         PipedInputStream fromHost = new PipedInputStream(PIPE);
         OutputStream driverOut = new PipedOutputStream(toHost);
@@ -71,19 +71,21 @@
             Wire.write(Wire.mapper(), bytes, item);
         }
         InputStream in = new ByteArrayInputStream(bytes.toByteArray());
-        return new RemoteSoftswitches("stand-in", Figures.USUAL, in, new ByteArrayOutputStream(), () -> { });
+        return new RemoteSoftswitches("stand-in", ControlParameters.DEFAULTS, in,
+                new ByteArrayOutputStream(), () -> { });
     }
 
     @Test
     void itMakesNoDifferenceWhereTheyRun() throws IOException {
-        try (RemoteSoftswitches remote = overPipes(Figures.USUAL)) {
-            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(Figures.USUAL))), play(remote));
+        try (RemoteSoftswitches remote = overPipes(ControlParameters.DEFAULTS)) {
+            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS))),
+                    play(remote));
         }
     }
 
     @Test
     void theFiguresGoAlong() throws IOException {
-        Figures narrow = new Figures(Map.of("window-max", 2.0, "window-gain", 0.0));
+        ControlParameters narrow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
         try (RemoteSoftswitches remote = overPipes(narrow)) {
             assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(narrow))), play(remote));
         }
@@ -94,7 +96,7 @@
         ByteArrayOutputStream sent = new ByteArrayOutputStream();
         InputStream in = new ByteArrayInputStream(bytes(new Wire.Hello("x", Wire.VERSION, "9.9"),
                 new Wire.Answer(null, List.of())));
-        new RemoteSoftswitches("stand-in", new Figures(Map.of("tandems", 2.0)), in, sent, () -> { })
+        new RemoteSoftswitches("stand-in", new ControlParameters(Map.of("tandems", 2.0)), in, sent, () -> { })
                 .begin(0, List.of());
         assertEquals(new Wire.Begin(0, Map.of("tandems", 2.0), List.of()),
                 Wire.mapper().readValue(sent.toByteArray(), Wire.Order.class));
@@ -165,7 +167,7 @@
     @Property(tries = 500, seed = "51")
     void spoiltOrdersEndTheHostAndNothingElse(@ForAll long seed) throws IOException {
         byte[] valid = bytes(new Wire.Begin(0, Map.of(), List.of()),
-                new Wire.Turn(1, List.of(new Softswitches.Input(0, List.of(new Happening.GivenUp("00"))))));
+                new Wire.Turn(1, List.of(new Softswitches.Input(0, List.of(new Happening.CallerAbandoned("00"))))));
         assertTrue(servesOrTurnsAway(Fuzz.spoil(valid, seed)));
     }
 
--- a/src/test/java/wingspread/link/LinksTest.java
+++ b/src/test/java/wingspread/link/LinksTest.java
@@ -26,12 +26,12 @@
 import wingspread.core.Attempt;
 import wingspread.core.AttemptFixture;
 import wingspread.core.Event;
-import wingspread.directory.Listing;
+import wingspread.directory.DirectoryEntry;
 import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 import wingspread.testing.Wire;
 
 /** Tests links to a stand-in exchange that becomes unresponsive, resets its connections or leaves the directory. */
@@ -41,10 +41,10 @@
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final Metrics metrics = new Metrics();
     private volatile int maxConnections = 100;
-    private Links links = links(ReconnectFigures.OFF);
+    private Links links = links(ReconnectParameters.OFF);
     private ServerSocket listener;
 
-    private Links links(ReconnectFigures reconnectParameters) {
+    private Links links(ReconnectParameters reconnectParameters) {
         return new Links(loop, 500_000, 0, () -> maxConnections, reconnectParameters, new SplittableRandom(1),
                 events::add, metrics);
     }
@@ -71,7 +71,7 @@
     private void updateDirectory(Readiness readiness) {
         InetSocketAddress endpoint = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         loop.execute(() -> links.update(List.of(
-                new Listing("s-1", endpoint, new Exchange(1, 0, 0, 1, readiness, 1, 0)))));
+                new DirectoryEntry("s-1", endpoint, new Exchange(1, 0, 0, 1, readiness, 1, 0)))));
     }
 
     private Wire<SipMessage> accept() throws IOException {
@@ -93,7 +93,7 @@
         Attempt attempt = invite("a");
         assertEquals("a", unresponsive.next().callId());
         clock.addAndGet(micros);
-        loop.execute(() -> links.withdraw(attempt));
+        loop.execute(() -> links.cancelAttempt(attempt));
         assertEquals("CANCEL", unresponsive.next().method());
     }
 
@@ -125,13 +125,13 @@
         Wire<SipMessage> connection = accept();
         listener.close();
         connection.reset();
-        assertEquals(new Event.Died(1), nextEvent());
+        assertEquals(new Event.ExchangeDown(1), nextEvent());
         Attempt attempt = invite("a");
         Event broken = nextEvent();
-        while (broken instanceof Event.Died) {
+        while (broken instanceof Event.ExchangeDown) {
             broken = nextEvent();
         }
-        assertEquals(new Event.Broken(attempt, Status.CONNECT_FAILED), broken);
+        assertEquals(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED), broken);
     }
 
     @Test
@@ -140,7 +140,7 @@
         Attempt attempt = invite("a");
         connection.next();
         connection.reset();
-        assertEquals(new Event.Broken(attempt, Status.RESET), nextEvent());
+        assertEquals(new Event.AttemptAborted(attempt, Status.RESET), nextEvent());
         try (Wire<SipMessage> next = accept()) {
             next.send(SipMessage.request("NOTIFY", "sip:g@net").with("X-Gauges", "x0:3;x1:4;queue:-1").encode());
             Event.Reported reported = (Event.Reported) nextEvent();
@@ -153,14 +153,14 @@
     void delaysReconnectToExchangeThatClosesBeforeSending() throws Exception {
         accept().close();
         long hourMicros = 3_600_000_000L;
-        links = links(new ReconnectFigures(1, 1, 5, 50, hourMicros, hourMicros, 0));
+        links = links(new ReconnectParameters(1, 1, 5, 50, hourMicros, hourMicros, 0));
         updateDirectory(Readiness.READY);
         Wire<SipMessage> connection = accept();
         Attempt attempt = invite("a");
         assertEquals("a", connection.next().callId());
         long before = runInLoop(() -> metrics.value("sent.connects"));
         connection.reset();
-        assertEquals(new Event.Broken(attempt, Status.RESET), nextEvent());
+        assertEquals(new Event.AttemptAborted(attempt, Status.RESET), nextEvent());
         assertEquals(before, runInLoop(() -> metrics.value("sent.connects")));
     }
 
@@ -169,9 +169,9 @@
         try (Wire<SipMessage> connection = accept()) {
             invite("a");
             assertEquals("a", connection.next().callId());
-            assertFalse(runInLoop(links::settled));
+            assertFalse(runInLoop(links::allStarted));
             clock.addAndGet(60_000);
-            assertTrue(runInLoop(links::settled));
+            assertTrue(runInLoop(links::allStarted));
         }
     }
 
@@ -187,19 +187,19 @@
             other.setSoTimeout(10_000);
             InetSocketAddress endpoint = (InetSocketAddress) other.getLocalSocketAddress();
             Exchange exchange = new Exchange(2, 0, 0, 2, Readiness.READY, 1, 0);
-            loop.execute(() -> links.update(List.of(new Listing("s-2", endpoint, exchange))));
+            loop.execute(() -> links.update(List.of(new DirectoryEntry("s-2", endpoint, exchange))));
             // At the limit the directory entry alone opens no connection, and start-up does not wait for one; a set-up
             // evicts the idle link.
-            assertEquals(1, runInLoop(links::open));
+            assertEquals(1, runInLoop(links::openCount));
             Attempt attempt = AttemptFixture.attempt("b", 2, clock.get(), clock.get() + 1_500_000);
             loop.execute(() -> links.invite(attempt));
             try (Wire<SipMessage> second = new Wire<>(other.accept(), new SipDecoder())) {
                 assertEquals("b", second.next().callId());
                 assertTrue(first.closed());
-                assertEquals(1, runInLoop(links::open));
+                assertEquals(1, runInLoop(links::openCount));
                 // A link with an unanswered set-up is not evicted: the next set-up fails immediately.
                 Attempt failed = invite("c");
-                assertEquals(new Event.Broken(failed, Status.CONNECT_FAILED), nextEvent());
+                assertEquals(new Event.AttemptAborted(failed, Status.CONNECT_FAILED), nextEvent());
                 second.send(response(SipMessage.request("INVITE", "sip:x@net").with("Call-ID", "b")));
                 assertTrue(nextEvent() instanceof Event.Rejected);
                 assertEquals("ACK", second.next().method());
@@ -217,11 +217,13 @@
         try (ServerSocket other = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             other.setSoTimeout(10_000);
             InetSocketAddress endpoint = (InetSocketAddress) other.getLocalSocketAddress();
-            List<Listing> listings = LongStream.rangeClosed(2, 4).mapToObj(i -> new Listing("s-" + i, endpoint,
-                    new Exchange(i, 0, 0, (int) i, Readiness.READY, 1, 0))).toList();
+            List<DirectoryEntry> listings = LongStream.rangeClosed(2, 4)
+                    .mapToObj(i -> new DirectoryEntry("s-" + i, endpoint,
+                            new Exchange(i, 0, 0, (int) i, Readiness.READY, 1, 0)))
+                    .toList();
             loop.execute(() -> links.update(listings.subList(0, 1)));
             other.accept();
-            assertEquals(2, runInLoop(links::open));
+            assertEquals(2, runInLoop(links::openCount));
             maxConnections = 2;
             loop.execute(() -> {
                 links.update(listings.subList(1, 3));
@@ -230,7 +232,7 @@
             });
             other.accept();
             other.accept();
-            assertEquals(2, runInLoop(links::open));
+            assertEquals(2, runInLoop(links::openCount));
         }
     }
 
@@ -242,21 +244,21 @@
     void checkOpensNewConnectionMarksItsFirstReportAndReplacesOldestIdleOne() throws Exception {
         Wire<SipMessage> first = accept();
         first.send(stateReport().encode());
-        assertTrue(((Event.Reported) nextEvent()).openedAt() != Event.Reported.UNSOLICITED);
+        assertTrue(((Event.Reported) nextEvent()).connectedAt() != Event.Reported.UNSOLICITED);
         first.send(stateReport().encode());
-        assertEquals(Event.Reported.UNSOLICITED, ((Event.Reported) nextEvent()).openedAt());
+        assertEquals(Event.Reported.UNSOLICITED, ((Event.Reported) nextEvent()).connectedAt());
         clock.addAndGet(1_500_000);
-        assertTrue(runInLoop(() -> links.check(1)));
+        assertTrue(runInLoop(() -> links.checkLiveness(1)));
         Wire<SipMessage> second = accept();
         second.send(stateReport().encode());
-        assertEquals(clock.get(), ((Event.Reported) nextEvent()).openedAt());
+        assertEquals(clock.get(), ((Event.Reported) nextEvent()).connectedAt());
         // A message that needs no event of its own also shows that the exchange is alive.
         first.send(SipMessage.response(200, "OK").with("Call-ID", "a").with("CSeq", "1 BYE").encode());
-        assertEquals(new Event.Heard(1), nextEvent());
-        assertTrue(runInLoop(() -> links.check(1)));
+        assertEquals(new Event.ExchangeAlive(1), nextEvent());
+        assertTrue(runInLoop(() -> links.checkLiveness(1)));
         assertTrue(first.closed());
         accept().close();
-        assertFalse(runInLoop(() -> links.check(2)));
+        assertFalse(runInLoop(() -> links.checkLiveness(2)));
         second.close();
     }
 
@@ -269,10 +271,10 @@
                 assertEquals("b", replacement.next().callId());
                 listener.close();
                 replacement.reset();
-                assertTrue(nextEvent() instanceof Event.Broken);
+                assertTrue(nextEvent() instanceof Event.AttemptAborted);
             }
         }
-        assertEquals(new Event.Died(1), nextEvent());
+        assertEquals(new Event.ExchangeDown(1), nextEvent());
         loop.execute(() -> links.release(1, "c", 41));
         try (ServerSocket restarted = new ServerSocket(listener.getLocalPort(), 8, InetAddress.getLoopbackAddress())) {
             restarted.setSoTimeout(10_000);
@@ -292,7 +294,7 @@
             updateDirectory(Readiness.GONE);
             assertTrue(connection.closed());
             Attempt attempt = invite("a");
-            assertEquals(new Event.Broken(attempt, Status.CONNECT_FAILED), nextEvent());
+            assertEquals(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED), nextEvent());
         }
     }
 }
--- a/src/test/java/wingspread/link/LoadReportParserTest.java
+++ b/src/test/java/wingspread/link/LoadReportParserTest.java
@@ -23,6 +23,6 @@
         for (double value : new double[] {report.free(), report.circuits(), report.backlog(), report.maxRate()}) {
             assertTrue(Double.isNaN(value));
         }
-        assertSame(Report.NOTHING, LoadReportParser.parse(""));
+        assertSame(Report.EMPTY, LoadReportParser.parse(""));
     }
 }
--- a/src/test/java/wingspread/net/NewcomersTest.java
+++ b/src/test/java/wingspread/net/AcceptThrottleTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import wingspread.metrics.Metrics;
-import wingspread.storm.ReconnectFigures;
+import wingspread.storm.ReconnectParameters;
 
 /** Tests many callers that connect at the same moment, on real sockets. */
-class NewcomersTest {
+class AcceptThrottleTest {
     private static final int CONNECTION_COUNT = 300;
     /** Accepting may take 1 % of the loop's time, so that few connections are accepted at once. */
-    private static final ReconnectFigures SMALL_BUDGET = new ReconnectFigures(0.01, 1, 5, 50, 1, 1, 0);
+    private static final ReconnectParameters SMALL_BUDGET = new ReconnectParameters(0.01, 1, 5, 50, 1, 1, 0);
 
     private final Loop loop = new Loop(new UnixClock());
     private final Metrics metrics = new Metrics();
@@ -47,7 +47,7 @@
     void acceptsAllConnectionsInSmallBatches() throws Exception {
         CountDownLatch remaining = new CountDownLatch(CONNECTION_COUNT);
         Channel listener = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
-                .handler(new Newcomers(loop, "test", SMALL_BUDGET, metrics))
+                .handler(new AcceptThrottle(loop, "test", SMALL_BUDGET, metrics))
                 .childHandler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public boolean isSharable() {
--- a/src/test/java/wingspread/net/AdmissionTest.java
+++ b/src/test/java/wingspread/net/AdmissionTest.java
@@ -44,7 +44,7 @@
     void evictsOldestConnectionWithoutMessageFirst() {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
-        admission.heard(first);
+        admission.messageReceived(first);
         EmbeddedChannel third = open();
         assertFalse(second.isOpen());
         assertTrue(first.isOpen() && third.isOpen());
@@ -54,9 +54,9 @@
     void evictsIdleConnectionWithLeastRecentMessage() {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
-        admission.heard(first);
-        admission.heard(second);
-        admission.heard(first);
+        admission.messageReceived(first);
+        admission.messageReceived(second);
+        admission.messageReceived(first);
         EmbeddedChannel third = open();
         assertFalse(second.isOpen());
         assertTrue(first.isOpen() && third.isOpen());
@@ -66,8 +66,8 @@
     void rejectsNewConnectionWhenAllOthersCarryCalls() throws Exception {
         EmbeddedChannel first = open();
         EmbeddedChannel second = open();
-        admission.heard(first);
-        admission.heard(second);
+        admission.messageReceived(first);
+        admission.messageReceived(second);
         channelsWithCalls.add(first);
         channelsWithCalls.add(second);
         EmbeddedChannel third = open();
@@ -81,7 +81,7 @@
     void closesConnectionWithoutMessageAfterTimeout() throws Exception {
         EmbeddedChannel withoutMessage = open();
         EmbeddedChannel active = open();
-        admission.heard(active);
+        admission.messageReceived(active);
         CountDownLatch closed = new CountDownLatch(1);
         withoutMessage.closeFuture().addListener(f -> closed.countDown());
         clock.addAndGet(FIRST_MESSAGE_TIMEOUT_MICROS);
--- a/src/test/java/wingspread/net/DescriptorsTest.java
+++ b/src/test/java/wingspread/net/FileDescriptorBudgetTest.java
@@ -5,26 +5,26 @@
 
 import org.junit.jupiter.api.Test;
 
-class DescriptorsTest {
+class FileDescriptorBudgetTest {
     @Test
     void reservesThirdForCallersAndStaysBelowLimitInTotal() {
         for (int limit : new int[] {256, 512, 608, 1_024, 4_096}) {
-            Descriptors descriptors = new Descriptors(limit);
+            FileDescriptorBudget descriptors = new FileDescriptorBudget(limit);
             for (int callers = 0; callers <= limit / 3; callers += 7) {
-                int exchanges = descriptors.forExchanges(callers);
+                int exchanges = descriptors.exchangeLimit(callers);
                 assertTrue(exchanges >= limit * 2 / 5, limit + " " + callers);
                 assertTrue(callers + exchanges < limit - 53, limit + " " + callers);
-                assertTrue(descriptors.forCallers(exchanges) >= limit / 3);
+                assertTrue(descriptors.callerLimit(exchanges) >= limit / 3);
             }
-            for (int exchanges = 0; exchanges < descriptors.forExchanges(0); exchanges += 7) {
-                assertTrue(descriptors.forCallers(exchanges) + exchanges < limit - 53, limit + " " + exchanges);
+            for (int exchanges = 0; exchanges < descriptors.exchangeLimit(0); exchanges += 7) {
+                assertTrue(descriptors.callerLimit(exchanges) + exchanges < limit - 53, limit + " " + exchanges);
             }
         }
     }
 
     @Test
     void grantsCallersWhatExchangesDoNotUse() {
-        assertEquals(614, new Descriptors(1_024).forCallers(36));
-        assertEquals(341, new Descriptors(1_024).forCallers(1_000));
+        assertEquals(614, new FileDescriptorBudget(1_024).callerLimit(36));
+        assertEquals(341, new FileDescriptorBudget(1_024).callerLimit(1_000));
     }
 }
--- a/src/test/java/wingspread/net/MessageHandlerTest.java
+++ b/src/test/java/wingspread/net/MessageHandlerTest.java
@@ -20,7 +20,7 @@
     private boolean replyPending;
     private int pauseLimit = 1;
     private final EmbeddedChannel channel = new EmbeddedChannel(new MessageHandler<>("test", new LineDecoder(),
-            new MessageHandler.Owner<Map<?, ?>>() {
+            new MessageHandler.Listener<Map<?, ?>>() {
                 @Override
                 public void received(Channel from, Map<?, ?> message) {
                     events.add(message);
@@ -32,12 +32,12 @@
                 }
 
                 @Override
-                public int mostPauses() {
+                public int maxPauses() {
                     return pauseLimit;
                 }
 
                 @Override
-                public boolean owes(Channel from) {
+                public boolean hasPendingReply(Channel from) {
                     return replyPending;
                 }
             }));
@@ -61,15 +61,15 @@
 
     @Test
     void hasPendingDataWhileMessageIsIncompleteOrWriteIsUnsent() {
-        assertFalse(MessageHandler.busy(channel));
+        assertFalse(MessageHandler.hasPendingData(channel));
         read("{");
-        assertTrue(MessageHandler.busy(channel));
+        assertTrue(MessageHandler.hasPendingData(channel));
         read("}\n");
-        assertFalse(MessageHandler.busy(channel));
+        assertFalse(MessageHandler.hasPendingData(channel));
         MessageHandler.write(channel, Unpooled.copiedBuffer("{}\n", StandardCharsets.US_ASCII));
-        assertTrue(MessageHandler.busy(channel));
+        assertTrue(MessageHandler.hasPendingData(channel));
         channel.flush();
-        assertFalse(MessageHandler.busy(channel));
+        assertFalse(MessageHandler.hasPendingData(channel));
     }
 
     @Test
--- a/src/test/java/wingspread/net/SignalsTest.java
+++ b/src/test/java/wingspread/net/SignalsTest.java
@@ -16,7 +16,7 @@
     /** The default action of SIGWINCH is to ignore it, so a signal without an installed handler would be lost. */
     @Test
     void remembersSignalThatArrivesBeforeItsTask() throws Exception {
-        Signals.keep("WINCH");
+        Signals.installHandlers("WINCH");
         sendSignal("WINCH");
         Semaphore runs = new Semaphore(0);
         Signals.on("WINCH", runs::release);
--- a/src/test/java/wingspread/sip/SipDecoderTest.java
+++ b/src/test/java/wingspread/sip/SipDecoderTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.testing.Fuzz;
 
 class SipDecoderTest {
@@ -32,7 +32,7 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void aStreamReadsTheSameHoweverItIsCut(@ForAll long seed) throws BadInput {
+    void aStreamReadsTheSameHoweverItIsCut(@ForAll long seed) throws InvalidInputException {
         byte[] stream = new byte[INVITE.length + 2 + RESPONSE.length];
         System.arraycopy(INVITE, 0, stream, 0, INVITE.length);
         stream[INVITE.length] = '\r';
@@ -59,15 +59,15 @@
         for (String length : List.of("", "Content-Length: x\r\n", "Content-Length: -1\r\n", "Content-Length: 99999\r\n",
                 "Content-Length: 1\r\nl: 2\r\n", "Content-Length: 9999999999999999999\r\n")) {
             byte[] message = bytes("BYE sip:a@b SIP/2.0\r\n" + length + "\r\nab");
-            assertThrows(BadInput.class, () -> decoder.next(message, 0, message.length), length);
+            assertThrows(InvalidInputException.class, () -> decoder.next(message, 0, message.length), length);
         }
         byte[] datagram = bytes("BYE sip:a@b SIP/2.0\r\nContent-Length: 3\r\n\r\nab");
-        assertThrows(BadInput.class, () -> SipDecoder.datagram(datagram));
+        assertThrows(InvalidInputException.class, () -> SipDecoder.datagram(datagram));
     }
 
     @Test
     void aHeadWithoutAnEndIsTurnedAway() {
         byte[] endless = bytes("BYE sip:a@b SIP/2.0\r\nX: " + "x".repeat(17_000));
-        assertThrows(BadInput.class, () -> decoder.next(endless, 0, endless.length));
+        assertThrows(InvalidInputException.class, () -> decoder.next(endless, 0, endless.length));
     }
 }
--- a/src/test/java/wingspread/storm/RedialLimiterTest.java
+++ b/src/test/java/wingspread/storm/RedialLimiterTest.java
@@ -14,7 +14,7 @@
 class RedialLimiterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long WINDOW_MICROS = 2 * SECOND_MICROS;
-    private static final StormFigures.Damping DAMPING = StormFigures.USUAL.damping();
+    private static final StormParameters.Damping DAMPING = StormParameters.DEFAULTS.damping();
 
     private static FairBudget budget(double... classValues) {
         return new FairBudget(0, DAMPING, WINDOW_MICROS, classValues);
@@ -35,11 +35,11 @@
             for (int i = 0; i < random.nextInt(maxOffered); i++) {
                 admitted += budget.tryAcquire(at, random.nextInt(3), 1) ? 1 : 0;
             }
-            assertTrue(budget.totalBalance() >= 0 && budget.totalBalance() <= DAMPING.budgetMost() + 1e-9);
+            assertTrue(budget.totalBalance() >= 0 && budget.totalBalance() <= DAMPING.maxBudget() + 1e-9);
         }
         assertTrue(admitted <= 1 + DAMPING.budgetShare() * established + DAMPING.budgetFloor() * 20,
                 admitted + " redials admitted, fresh calls established: " + established);
-        assertTrue(admitted >= (maxOffered == 1 ? 0 : DAMPING.budgetShare() * established - DAMPING.budgetMost()),
+        assertTrue(admitted >= (maxOffered == 1 ? 0 : DAMPING.budgetShare() * established - DAMPING.maxBudget()),
                 "fewer redials admitted than the budget covers");
     }
 
@@ -85,7 +85,7 @@
         }
         double refilled = DAMPING.budgetShare() * 6_000 + DAMPING.budgetFloor() * 60;
         assertTrue(admitted[1] > 0.95 * offeredByClass1, admitted[1] + " of " + offeredByClass1);
-        assertEquals(refilled, admitted[0] + admitted[1], DAMPING.budgetMost() + 2);
+        assertEquals(refilled, admitted[0] + admitted[1], DAMPING.maxBudget() + 2);
     }
 
     @Test
@@ -104,9 +104,9 @@
             budget.onCallEstablished(0, false);
         }
         assertTrue(budget.tryAcquire(0, 0, 6));
-        assertEquals(DAMPING.budgetMost() - 6, budget.totalBalance(), 1e-9);
+        assertEquals(DAMPING.maxBudget() - 6, budget.totalBalance(), 1e-9);
         assertTrue(!budget.tryAcquire(0, 0, 6));
-        assertEquals(DAMPING.budgetMost() - 6, budget.totalBalance(), 1e-9);
+        assertEquals(DAMPING.maxBudget() - 6, budget.totalBalance(), 1e-9);
     }
 
     @Property(tries = 30, seed = "88")
@@ -144,15 +144,15 @@
         shareRamp.begin(10 * SECOND_MICROS);
         assertEquals(DAMPING.budgetShare(), shareRamp.share(10 * SECOND_MICROS), 1e-9);
         assertEquals((DAMPING.budgetShare() + DAMPING.rampShare()) / 2,
-                shareRamp.share(10 * SECOND_MICROS + DAMPING.ramp() / 2), 1e-9);
-        assertTrue(shareRamp.isActive(10 * SECOND_MICROS + DAMPING.ramp() - 1));
-        assertTrue(!shareRamp.isActive(10 * SECOND_MICROS + DAMPING.ramp()));
+                shareRamp.share(10 * SECOND_MICROS + DAMPING.rampMicros() / 2), 1e-9);
+        assertTrue(shareRamp.isActive(10 * SECOND_MICROS + DAMPING.rampMicros() - 1));
+        assertTrue(!shareRamp.isActive(10 * SECOND_MICROS + DAMPING.rampMicros()));
     }
 
     @Test
     void historyClassifiesCallToFailedNumberAsRedialForLimitedTime() {
-        RedialHistory history = new RedialHistory(StormFigures.USUAL.returns());
-        long redialWindow = StormFigures.USUAL.returns().redialTime();
+        RedialHistory history = new RedialHistory(StormParameters.DEFAULTS.retryPolicy());
+        long redialWindow = StormParameters.DEFAULTS.retryPolicy().redialWindowMicros();
         assertEquals(Classification.NONE, history.classify(0, 5));
         history.onCallFailed(0, 5, 0);
         assertEquals(Classification.NONE, history.classify(0, 6), "call to another number");
@@ -171,7 +171,7 @@
     @Test
     void historyEvictsLeastRecentlyUsedNumber() {
         RedialHistory history = new RedialHistory(
-                new StormFigures.Returns(SECOND_MICROS, true, SECOND_MICROS, 4, 0, 3, 1));
+                new StormParameters.RetryPolicy(SECOND_MICROS, true, SECOND_MICROS, 4, 0, 3, 1));
         for (long number = 1; number <= 4; number++) {
             history.classify(0, number);
             history.onCallFailed(0, number, 0);
@@ -183,44 +183,44 @@
 
     @Property(tries = 100, seed = "89")
     void backoffStaysBelowDoublingBound(@ForAll long seed) {
-        Backoff backoff = ReconnectFigures.USUAL.backoff(new SplittableRandom(seed));
-        long bound = ReconnectFigures.USUAL.firstBackoff();
+        Backoff backoff = ReconnectParameters.DEFAULTS.backoff(new SplittableRandom(seed));
+        long bound = ReconnectParameters.DEFAULTS.initialBackoffMicros();
         for (int i = 0; i < 10; i++) {
             long wait = backoff.next();
             assertTrue(wait >= 1 && wait <= bound, wait + " of " + bound);
-            bound = Math.min(2 * bound, ReconnectFigures.USUAL.longestBackoff());
+            bound = Math.min(2 * bound, ReconnectParameters.DEFAULTS.maxBackoffMicros());
         }
         backoff.reset();
-        assertTrue(backoff.next() <= ReconnectFigures.USUAL.firstBackoff());
+        assertTrue(backoff.next() <= ReconnectParameters.DEFAULTS.initialBackoffMicros());
     }
 
     @Test
     void fullJitterSpreadsWaitsEvenly() {
         int[] countByTenth = new int[10];
         for (int i = 0; i < 2_000; i++) {
-            Backoff backoff = ReconnectFigures.USUAL.backoff(new SplittableRandom(i));
-            countByTenth[(int) ((backoff.next() - 1) * 10 / ReconnectFigures.USUAL.firstBackoff())]++;
+            Backoff backoff = ReconnectParameters.DEFAULTS.backoff(new SplittableRandom(i));
+            countByTenth[(int) ((backoff.next() - 1) * 10 / ReconnectParameters.DEFAULTS.initialBackoffMicros())]++;
         }
         for (int count : countByTenth) {
             assertEquals(200, count, 60);
         }
-        Backoff withoutJitter = ReconnectFigures.OFF.backoff(new SplittableRandom(1));
+        Backoff withoutJitter = ReconnectParameters.OFF.backoff(new SplittableRandom(1));
         assertEquals(100_000, withoutJitter.next());
         assertEquals(200_000, withoutJitter.next());
     }
 
     @Test
     void surgeDetectorReportsBeginningAndEndOnceEach() {
-        SurgeDetector detector = ReconnectFigures.USUAL.surges(0);
+        SurgeDetector detector = ReconnectParameters.DEFAULTS.surgeDetector(0);
         int changes = 0;
         for (long at = 0; at < 90 * SECOND_MICROS; at += 1_000) {
             // 20 connections per second, and after one minute 1000 per second for half a second.
             boolean inSurge = at >= 60 * SECOND_MICROS && at < 60.5 * SECOND_MICROS;
-            changes += (inSurge || at % 50_000 == 0 ? detector.arrived(at) : detector.look(at)) ? 1 : 0;
+            changes += (inSurge || at % 50_000 == 0 ? detector.recordConnection(at) : detector.update(at)) ? 1 : 0;
             if (at == 60_400_000) {
-                assertTrue(detector.surge() && detector.perSecond(at) > 300,
+                assertTrue(detector.surgeActive() && detector.perSecond(at) > 300,
                         "connections per second at 60.4 s: " + detector.perSecond(at));
-                assertEquals(20, detector.usualPerSecond(at), 2);
+                assertEquals(20, detector.baselinePerSecond(at), 2);
             }
         }
         assertEquals(2, changes);
@@ -234,16 +234,16 @@
         double maxCost = 0;
         long at = 0;
         while (at < 10 * SECOND_MICROS) {
-            if (budget.allows(at)) {
+            if (budget.allowsConnection(at)) {
                 double cost = 100 + random.nextInt(3_000);
                 maxCost = Math.max(maxCost, cost);
                 totalCost += cost;
                 at += (long) cost;
-                budget.spent(at, cost);
+                budget.debit(at, cost);
             } else {
-                assertTrue(budget.opensAt(at) > at);
-                at = budget.opensAt(at);
-                assertTrue(budget.allows(at), "no connection allowed at the announced time");
+                assertTrue(budget.nextAllowedAt(at) > at);
+                at = budget.nextAllowedAt(at);
+                assertTrue(budget.allowsConnection(at), "no connection allowed at the announced time");
             }
         }
         assertTrue(totalCost <= 0.25 * at + 20_000 + maxCost, totalCost + " of " + at);
--- a/src/test/java/wingspread/storm/StormGateTest.java
+++ b/src/test/java/wingspread/storm/StormGateTest.java
@@ -10,33 +10,33 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import wingspread.storm.StormGate.Pass;
-import wingspread.storm.StormGate.TurnedAway;
+import wingspread.storm.StormGate.Rejected;
 import wingspread.storm.StormGate.Verdict;
 
 /** Tests that the gate rejects redials during a storm, and no other calls. */
 class StormGateTest {
     private static final long SECOND_MICROS = 1_000_000;
 
-    private static final StormFigures DEFAULT_PARAMETERS = StormFigures.USUAL;
+    private static final StormParameters DEFAULT_PARAMETERS = StormParameters.DEFAULTS;
 
-    private final List<StormNews> events = new ArrayList<>();
+    private final List<StormEvent> events = new ArrayList<>();
     private final List<Verdict> redialVerdicts = new ArrayList<>();
     private StormGate gate = gate(DEFAULT_PARAMETERS);
     private long nextNumber = 1_000_000;
 
-    private StormGate gate(StormFigures parameters) {
+    private StormGate gate(StormParameters parameters) {
         return new StormGate(0, parameters, List.of(1.0, 3.0), new SplittableRandom(1), events::add);
     }
 
     private Verdict offerCall(long at, int destination, long number, boolean marked) {
-        return gate.offered(at, new Try(destination, 0, number, marked, 1));
+        return gate.decide(at, new CallOffer(destination, 0, number, marked, 1));
     }
 
     /** Offers a marked redial to a new number; if it passes, it fails. */
     private Verdict offerRedial(long at, int destination) {
         Verdict verdict = offerCall(at, destination, nextNumber++, true);
         if (verdict instanceof Pass pass) {
-            gate.failed(at, pass.seen());
+            gate.onCallFailed(at, pass.classifiedOffer());
         }
         return verdict;
     }
@@ -51,18 +51,18 @@
         for (long at = fromSecond * SECOND_MICROS; at < toSecond * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < freshPerSecond / 1_000) {
                 Verdict verdict = offerCall(at, destination, nextNumber++, false);
-                assertTrue(verdict instanceof Pass pass && !pass.seen().again());
-                gate.gotThrough(at, ((Pass) verdict).seen());
+                assertTrue(verdict instanceof Pass pass && !pass.classifiedOffer().isRedial());
+                gate.onCallEstablished(at, ((Pass) verdict).classifiedOffer());
             }
             if (random.nextDouble() < redialsPerSecond / 1_000) {
                 redialVerdicts.add(offerRedial(at, destination));
             }
         }
-        gate.look(toSecond * SECOND_MICROS);
+        gate.update(toSecond * SECOND_MICROS);
     }
 
     private long rejectedCount() {
-        return redialVerdicts.stream().filter(TurnedAway.class::isInstance).count();
+        return redialVerdicts.stream().filter(Rejected.class::isInstance).count();
     }
 
     @Property(tries = 30, seed = "91")
@@ -84,9 +84,9 @@
         // A share of 0.5 of 40 fresh calls and a floor of 0.5, both per second, admit 205 redials in ten seconds. The
         // rest allows for redials that pass before the storm is detected.
         assertTrue(admitted < 205 + 10 + 100, admitted + " of " + test.redialVerdicts.size() + " redials admitted");
-        assertTrue(test.redialVerdicts.stream().allMatch(v -> !(v instanceof TurnedAway rejection)
-                || rejection.advised() >= 1
-                && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()));
+        assertTrue(test.redialVerdicts.stream().allMatch(v -> !(v instanceof Rejected rejection)
+                || rejection.advisedWaitMicros() >= 1
+                && rejection.advisedWaitMicros() <= DEFAULT_PARAMETERS.retryPolicy().maxWaitMicros()));
         assertEquals(2, test.events.size(), test.events::toString);
     }
 
@@ -107,9 +107,9 @@
     void notifiesOfEndOfStormAndPassesRedialsAfterTheRamp() {
         offerCalls(0, 5, 1, 10, 200, 5);
         long at = 5 * SECOND_MICROS;
-        while (gate.stormy()) {
-            at += StormGate.LOOK_EVERY;
-            gate.look(at);
+        while (gate.anyStormActive()) {
+            at += StormGate.UPDATE_INTERVAL_MICROS;
+            gate.update(at);
         }
         assertEquals(List.of("DESTINATION 1 began", "ALL 0 began", "ALL 0 ended", "DESTINATION 1 ended"),
                 eventLines());
@@ -117,20 +117,20 @@
         for (int i = 0; i < 100; i++) {
             redialVerdicts.add(offerRedial(at, 1));
         }
-        assertTrue(redialVerdicts.get(redialVerdicts.size() - 1) instanceof TurnedAway,
+        assertTrue(redialVerdicts.get(redialVerdicts.size() - 1) instanceof Rejected,
                 "the beginning of the ramp admits 100 redials at once");
-        long afterRamp = at + DEFAULT_PARAMETERS.damping().ramp();
+        long afterRamp = at + DEFAULT_PARAMETERS.damping().rampMicros();
         assertTrue(offerCall(afterRamp, 1, nextNumber++, true) instanceof Pass);
     }
 
     @Test
     void regionalStormLimitsDestinationsBelowTheirOwnThreshold() {
-        StormFigures highThreshold = new StormFigures(new StormFigures.Detection(2 * SECOND_MICROS,
+        StormParameters highThreshold = new StormParameters(new StormParameters.Detection(2 * SECOND_MICROS,
                 60 * SECOND_MICROS, 0.5, 0.2, 3, 0.5, 30, SECOND_MICROS),
-                DEFAULT_PARAMETERS.damping(), DEFAULT_PARAMETERS.returns());
+                DEFAULT_PARAMETERS.damping(), DEFAULT_PARAMETERS.retryPolicy());
         gate = gate(highThreshold);
         for (int destination = 0; destination < 10; destination++) {
-            gate.listed(0, destination, destination < 5 ? 7 : 8);
+            gate.onDestinationListed(0, destination, destination < 5 ? 7 : 8);
         }
         SplittableRandom random = new SplittableRandom(3);
         for (long at = 0; at < 10 * SECOND_MICROS; at += 10_000) {
@@ -146,23 +146,23 @@
 
     @Test
     void recoveredCircuitsAreLoadedAlongRamp() {
-        StormFigures.Damping defaults = DEFAULT_PARAMETERS.damping();
-        gate = gate(new StormFigures(DEFAULT_PARAMETERS.detection(), new StormFigures.Damping(defaults.method(),
-                0.05, 0.5, 2, 3 * SECOND_MICROS, 1.5, 2, 0.1), DEFAULT_PARAMETERS.returns()));
-        gate.circuits(0, 1, 20);
-        gate.circuits(SECOND_MICROS, 1, 10);
-        gate.circuits(2 * SECOND_MICROS, 1, 20);
+        StormParameters.Damping defaults = DEFAULT_PARAMETERS.damping();
+        gate = gate(new StormParameters(DEFAULT_PARAMETERS.detection(), new StormParameters.Damping(defaults.method(),
+                0.05, 0.5, 2, 3 * SECOND_MICROS, 1.5, 2, 0.1), DEFAULT_PARAMETERS.retryPolicy()));
+        gate.onCircuitsReported(0, 1, 20);
+        gate.onCircuitsReported(SECOND_MICROS, 1, 10);
+        gate.onCircuitsReported(2 * SECOND_MICROS, 1, 20);
         int[] admitted = new int[4];
         for (long at = 2 * SECOND_MICROS; at < 6 * SECOND_MICROS; at += 50_000) {
             Verdict freshVerdict = offerCall(at, 1, nextNumber++, false);
-            gate.gotThrough(at, ((Pass) freshVerdict).seen());
+            gate.onCallEstablished(at, ((Pass) freshVerdict).classifiedOffer());
             // As many more calls, half of them marked as redials: too few for a storm.
             Verdict other = at % 100_000 == 0 ? offerRedial(at, 1) : offerCall(at, 1, nextNumber++, false);
             admitted[(int) (at / SECOND_MICROS) - 2] += other instanceof Pass ? 1 : 0;
         }
         assertTrue(admitted[0] < 20, admitted[0] + " of 20 calls admitted in the first second");
         assertEquals(20, admitted[3], "after the ramp");
-        gate.circuits(7 * SECOND_MICROS, 1, 21);
+        gate.onCircuitsReported(7 * SECOND_MICROS, 1, 21);
         assertTrue(offerCall(7 * SECOND_MICROS, 1, nextNumber++, true) instanceof Pass,
                 "one more circuit is not a recovery");
         assertEquals(List.of(), events);
@@ -177,10 +177,10 @@
             verdict = offerRedial(at, 1);
         }
         long number = nextNumber - 1;
-        long retryAt = at + ((TurnedAway) verdict).advised();
-        assertTrue(retryAt > at + 2 * DEFAULT_PARAMETERS.returns().early(), "retry time " + retryAt);
-        TurnedAway earlyVerdict = (TurnedAway) offerCall(at + 50_000, 1, number, true);
-        assertEquals(new TurnedAway(retryAt - at - 50_000, StormGate.Reason.EARLY), earlyVerdict);
+        long retryAt = at + ((Rejected) verdict).advisedWaitMicros();
+        assertTrue(retryAt > at + 2 * DEFAULT_PARAMETERS.retryPolicy().earlyToleranceMicros(), "retry time " + retryAt);
+        Rejected earlyVerdict = (Rejected) offerCall(at + 50_000, 1, number, true);
+        assertEquals(new Rejected(retryAt - at - 50_000, StormGate.Reason.EARLY), earlyVerdict);
     }
 
     @Test
@@ -190,8 +190,8 @@
             for (int repeat = 0; repeat < 3; repeat++) {
                 Verdict verdict = offerCall(at + repeat * 10_000, 1, number, false);
                 if (verdict instanceof Pass pass) {
-                    assertEquals(repeat > 0, pass.seen().again());
-                    gate.failed(at + repeat * 10_000, pass.seen());
+                    assertEquals(repeat > 0, pass.classifiedOffer().isRedial());
+                    gate.onCallFailed(at + repeat * 10_000, pass.classifiedOffer());
                 } else {
                     redialVerdicts.add(verdict);
                 }
@@ -208,12 +208,12 @@
         SplittableRandom random = new SplittableRandom(seed);
         for (long at = 0; at < 20 * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < 0.02) {
-                test.gate.gotThrough(at,
-                        ((Pass) test.offerCall(at, 1, test.nextNumber++, false)).seen());
+                test.gate.onCallEstablished(at,
+                        ((Pass) test.offerCall(at, 1, test.nextNumber++, false)).classifiedOffer());
             }
             if (random.nextDouble() < 0.1 && at > 5 * SECOND_MICROS) {
                 Verdict verdict = test.offerCall(at, 1, 1 + random.nextInt(3), false);
-                test.gate.failed(at, ((Pass) verdict).seen());
+                test.gate.onCallFailed(at, ((Pass) verdict).classifiedOffer());
             }
         }
         assertEquals(List.of(), test.events);
@@ -221,13 +221,13 @@
 
     @Test
     void refusalsInStormAreSpreadAndNeverShorterThanTheAdvisedWait() {
-        Try freshCall = new Try(1, 0, 0, false, 1);
-        assertEquals(0, gate.refused(0, freshCall, 0));
+        CallOffer freshCall = new CallOffer(1, 0, 0, false, 1);
+        assertEquals(0, gate.onCallRefused(0, freshCall, 0));
         offerCalls(0, 5, 1, 10, 200, 6);
         int beyondOneSecond = 0;
         for (int i = 0; i < 100; i++) {
-            long wait = gate.refused(5 * SECOND_MICROS, freshCall, 1_000);
-            assertTrue(wait >= 1_000 && wait <= DEFAULT_PARAMETERS.returns().longestWait());
+            long wait = gate.onCallRefused(5 * SECOND_MICROS, freshCall, 1_000);
+            assertTrue(wait >= 1_000 && wait <= DEFAULT_PARAMETERS.retryPolicy().maxWaitMicros());
             beyondOneSecond += wait > SECOND_MICROS ? 1 : 0;
         }
         assertTrue(beyondOneSecond > 50, beyondOneSecond + " of 100 waits are longer than one second");
@@ -241,7 +241,7 @@
         for (long at = 0; at < 10 * SECOND_MICROS; at += 1_000) {
             if (random.nextDouble() < 0.1) {
                 Verdict verdict = test.offerCall(at, 1, test.nextNumber++, true);
-                test.gate.gotThrough(at + 50_000, ((Pass) verdict).seen());
+                test.gate.onCallEstablished(at + 50_000, ((Pass) verdict).classifiedOffer());
             }
         }
         assertEquals(2, test.events.size(), test.events::toString);
@@ -282,44 +282,44 @@
                 redialVerdicts.add(offerCall(at + i, 1, nextNumber - 60, true));
             }
             assertTrue(rejectedCount() > 0, "at " + at);
-            assertTrue(redialVerdicts.stream().allMatch(v -> !(v instanceof TurnedAway rejection)
-                    || rejection.advised() >= 1
-                    && rejection.advised() <= DEFAULT_PARAMETERS.returns().longestWait()), "at " + at);
+            assertTrue(redialVerdicts.stream().allMatch(v -> !(v instanceof Rejected rejection)
+                    || rejection.advisedWaitMicros() >= 1
+                    && rejection.advisedWaitMicros() <= DEFAULT_PARAMETERS.retryPolicy().maxWaitMicros()), "at " + at);
         }
         for (int second = 0; second < 30; second++) {
-            gate.look((7_206 + second) * SECOND_MICROS + hour);
+            gate.update((7_206 + second) * SECOND_MICROS + hour);
         }
-        assertTrue(!gate.stormy(), "storm is still active after 30 s");
+        assertTrue(!gate.anyStormActive(), "storm is still active after 30 s");
     }
 
     @Test
     void spreadMethodRejectsNoCalls() {
-        gate = gate(DEFAULT_PARAMETERS.withMethod(StormFigures.Method.SPREAD));
+        gate = gate(DEFAULT_PARAMETERS.withMethod(StormParameters.Method.SPREAD));
         offerCalls(0, 5, 1, 10, 200, 6);
         assertEquals(0, rejectedCount());
-        assertTrue(gate.refused(5 * SECOND_MICROS, new Try(1, 0, 0, false, 1), 0) > 0);
+        assertTrue(gate.onCallRefused(5 * SECOND_MICROS, new CallOffer(1, 0, 0, false, 1), 0) > 0);
     }
 
     @Test
     void boundsNumberOfTrackedDestinations() {
         for (int destination = 0; destination < 5_000; destination++) {
             offerCall(destination, destination, destination, true);
-            gate.listed(destination, destination, destination);
+            gate.onDestinationListed(destination, destination, destination);
         }
-        assertEquals(DEFAULT_PARAMETERS.returns().mostKeys(), gate.destinationCount());
+        assertEquals(DEFAULT_PARAMETERS.retryPolicy().maxDestinations(), gate.destinationCount());
     }
 
     /** Guards against counting the storm of an evicted destination as active forever. */
     @Test
     void evictedDestinationLeavesNoActiveStorm() {
         offerCalls(0, 5, 1, 10, 200, 5);
-        assertTrue(gate.stormy());
-        for (int destination = 2; destination < 2 + DEFAULT_PARAMETERS.returns().mostKeys(); destination++) {
+        assertTrue(gate.anyStormActive());
+        for (int destination = 2; destination < 2 + DEFAULT_PARAMETERS.retryPolicy().maxDestinations(); destination++) {
             offerCall(5 * SECOND_MICROS, destination, 0, false);
         }
         for (int second = 5; second < 60; second++) {
-            gate.look(second * SECOND_MICROS);
+            gate.update(second * SECOND_MICROS);
         }
-        assertTrue(!gate.stormy(), eventLines()::toString);
+        assertTrue(!gate.anyStormActive(), eventLines()::toString);
     }
 }
--- a/src/test/java/wingspread/storm/StormTest.java
+++ b/src/test/java/wingspread/storm/StormTest.java
@@ -16,7 +16,7 @@
 /** Tests storm detection, the schedule of retry times and the checks of the parameters. */
 class StormTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final StormFigures.Detection DETECTION = StormFigures.USUAL.detection();
+    private static final StormParameters.Detection DETECTION = StormParameters.DEFAULTS.detection();
 
     private final List<Change> changes = new ArrayList<>();
     private long lastChangeAt;
@@ -33,7 +33,7 @@
             if (random.nextDouble() < redialsPerSecond / 1_000) {
                 recordChange(at, detector.recordCall(at, true));
             }
-            recordChange(at, detector.look(at));
+            recordChange(at, detector.update(at));
         }
     }
 
@@ -75,7 +75,7 @@
         offerCalls(0, 5, 10, 100, 8);
         assertTrue(detector.isActive());
         for (long at = 5 * SECOND_MICROS; at < 40 * SECOND_MICROS; at += 100_000) {
-            recordChange(at, detector.look(at));
+            recordChange(at, detector.update(at));
         }
         assertEquals(List.of(Change.BEGAN, Change.ENDED), changes);
     }
@@ -85,7 +85,7 @@
         offerCalls(0, 10, 10, 100, 9);
         double before = detector.redialsPerSecond(10 * SECOND_MICROS);
         assertEquals(before, detector.redialsPerSecond(3 * SECOND_MICROS), 1e-9);
-        assertEquals(Change.NONE, detector.look(0));
+        assertEquals(Change.NONE, detector.update(0));
         assertTrue(detector.isActive());
     }
 
@@ -146,15 +146,15 @@
     @Test
     void rejectsInconsistentParameters() {
         assertThrows(IllegalArgumentException.class,
-                () -> new StormFigures.Detection(SECOND_MICROS, 60 * SECOND_MICROS, 0.2, 0.5, 3, 0.5, 2,
+                () -> new StormParameters.Detection(SECOND_MICROS, 60 * SECOND_MICROS, 0.2, 0.5, 3, 0.5, 2,
                         SECOND_MICROS));
         assertThrows(IllegalArgumentException.class,
-                () -> new StormFigures.Detection(SECOND_MICROS, SECOND_MICROS, 0.5, 0.2, 3, 0.5, 2, SECOND_MICROS));
+                () -> new StormParameters.Detection(SECOND_MICROS, SECOND_MICROS, 0.5, 0.2, 3, 0.5, 2, SECOND_MICROS));
         assertThrows(IllegalArgumentException.class,
-                () -> new StormFigures.Damping(StormFigures.Method.BUDGET, 0.2, 0.5, 10, SECOND_MICROS, 0.1, 2,
+                () -> new StormParameters.Damping(StormParameters.Method.BUDGET, 0.2, 0.5, 10, SECOND_MICROS, 0.1, 2,
                         0));
         assertThrows(IllegalArgumentException.class,
-                () -> new StormFigures.Returns(SECOND_MICROS, true, SECOND_MICROS, 0, 0, 1, 1));
+                () -> new StormParameters.RetryPolicy(SECOND_MICROS, true, SECOND_MICROS, 0, 0, 1, 1));
         assertFalse(new StormDetector(0, DETECTION).isActive());
     }
 }
--- a/src/test/java/wingspread/testbed/NameServerTest.java
+++ b/src/test/java/wingspread/testbed/NameServerTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import wingspread.control.CallControl.Readiness;
 import wingspread.directory.DnsMessage;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.testbed.NameServer.Named;
 
 class NameServerTest {
     @Test
-    void theProgramsOwnDirectoryReadsTheAnswer() throws BadInput {
+    void theProgramsOwnDirectoryReadsTheAnswer() throws InvalidInputException {
         byte[] answer = NameServer.answer(DnsMessage.query(77, "_back._tcp.pool.lan", 33), 70_000, List.of(
                 new Named("x1", "z0", 4, 5_000, Readiness.READY, 0),
                 new Named("x2", "z1", 5, 5_001, Readiness.DRAINING, 1_700_000_000_123L)), 8_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aLongListIsCutAfterAWholeExchangeAndWholeWhereThereIsRoom() throws BadInput {
+    void aLongListIsCutAfterAWholeExchangeAndWholeWhereThereIsRoom() throws InvalidInputException {
         List<Named> list = IntStream.range(0, 400)
                 .mapToObj(i -> new Named("x" + i, "z0", i, 5_000 + i, Readiness.READY, 0)).toList();
         byte[] question = DnsMessage.query(77, "_back._tcp.pool.lan", 33);
--- a/src/test/java/wingspread/testing/Fuzz.java
+++ b/src/test/java/wingspread/testing/Fuzz.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.FrameDecoder;
 
 /** What all parser tests share: a stream cut at random, and a valid message spoilt at random. */
@@ -12,20 +12,20 @@
     private Fuzz() { }
 
     /** Feeds a stream to a decoder in pieces of random length and returns its messages. */
-    public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed) throws BadInput {
+    public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed) throws InvalidInputException {
         SplittableRandom random = new SplittableRandom(seed);
         List<M> out = new ArrayList<>();
         int from = 0;
         int to = 0;
         while (to < stream.length) {
             to = Math.min(stream.length, to + 1 + random.nextInt(40));
-            FrameDecoder.Step<M> step = decoder.next(stream, from, to);
+            FrameDecoder.DecodeResult<M> step = decoder.next(stream, from, to);
             while (step.message() != null) {
                 out.add(step.message());
-                from += step.used();
+                from += step.consumedBytes();
                 step = decoder.next(stream, from, to);
             }
-            from += step.used();
+            from += step.consumedBytes();
         }
         return out;
     }
@@ -43,7 +43,7 @@
     /** A parser under test. */
     @FunctionalInterface
     public interface Parser {
-        void parse(byte[] bytes) throws BadInput;
+        void parse(byte[] bytes) throws InvalidInputException;
     }
 
     /** Whether a parser either takes bytes or turns them away as it should; anything else it throws goes on. */
@@ -51,7 +51,7 @@
         try {
             parser.parse(bytes);
             return true;
-        } catch (BadInput e) {
+        } catch (InvalidInputException e) {
             return !e.getMessage().isEmpty() && e.getMessage().indexOf('\n') < 0;
         }
     }
--- a/src/test/java/wingspread/testing/Wire.java
+++ b/src/test/java/wingspread/testing/Wire.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import wingspread.net.BadInput;
+import wingspread.net.InvalidInputException;
 import wingspread.net.FrameDecoder;
 
 /** One end of a connection in a test: reads whole messages, with a bound on how long it waits for one. */
@@ -24,11 +24,11 @@
     }
 
     /** The next message; an EOF or a wait of ten seconds is an exception. */
-    public M next() throws IOException, BadInput {
+    public M next() throws IOException, InvalidInputException {
         byte[] more = new byte[4_096];
         while (true) {
-            FrameDecoder.Step<M> step = decoder.next(bytes, 0, bytes.length);
-            bytes = Arrays.copyOfRange(bytes, step.used(), bytes.length);
+            FrameDecoder.DecodeResult<M> step = decoder.next(bytes, 0, bytes.length);
+            bytes = Arrays.copyOfRange(bytes, step.consumedBytes(), bytes.length);
             if (step.message() != null) {
                 return step.message();
             }
--- a/src/test/java/wingspread/turn/DeadlinesTest.java
+++ b/src/test/java/wingspread/turn/DeadlinesTest.java
@@ -27,12 +27,12 @@
             deadlines.add(entry.at(), () -> completed.add(entry));
             if (random.nextInt(4) == 0) {
                 now += random.nextInt(10);
-                deadlines.play(now);
+                deadlines.runDue(now);
                 long until = now;
                 assertEquals(added.stream().filter(task -> task.at() <= until).count(), completed.size());
             }
         }
-        deadlines.play(Long.MAX_VALUE - 1);
+        deadlines.runDue(Long.MAX_VALUE - 1);
         assertEquals(Long.MAX_VALUE, deadlines.next());
         assertEquals(added.stream().sorted(Comparator.comparingLong(Entry::at).thenComparingInt(Entry::order)).toList(),
                 completed);
--- a/src/test/java/wingspread/wirehost/WireTest.java
+++ b/src/test/java/wingspread/wirehost/WireTest.java
@@ -110,7 +110,7 @@
         writer.cancel(3, 5, 1);
         writer.probe(3, 0x0a124a071b5bL);
         writer.closeIdle(3, 0x0a124a071b5bL);
-        writer.tell(4, 0xffff, "h i7".getBytes(StandardCharsets.UTF_8));
+        writer.sendToPeer(4, 0xffff, "h i7".getBytes(StandardCharsets.UTF_8));
         writer.log(4, "two");
         writer.fault(4, "x");
         writer.subscribe(4, true);
