--- a/src/main/java/wingspread/cli/LabList.java
+++ b/src/main/java/wingspread/cli/LabList.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import wingspread.control.Figures;
-import wingspread.control.NamedFigures.Figure;
-import wingspread.control.NamedFigures.Unit;
+import wingspread.control.ControlParameters;
+import wingspread.control.NamedParameters.Parameter;
+import wingspread.control.NamedParameters.Unit;
 import wingspread.lab.scenario.Scenario;
 
 /** Lists the built-in scenarios, the text of one of them, or the control parameters. */
@@ -39,10 +39,10 @@
             out.print(Scenario.shippedText(scenario));
         } else if (listParameters) {
             out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", "figure", "usual", "least", "most");
-            Figures.USUAL.all().forEach(parameter ->
+            ControlParameters.DEFAULTS.all().forEach(parameter ->
                     out.printf(Locale.ROOT, "%-24s %12s %12s %12s%n", parameter.name(),
-                            value(parameter, parameter.usual()), value(parameter, parameter.least()),
-                            value(parameter, parameter.most())));
+                            value(parameter, parameter.defaultValue()), value(parameter, parameter.min()),
+                            value(parameter, parameter.max())));
         } else {
             Scenario.SHIPPED.forEach(name -> out.printf("%-18s %s%n", name, Scenario.named(name).about()));
         }
@@ -50,7 +50,7 @@
     }
 
     /** Formats a value as it is written in a setting: a time in milliseconds with its unit, others without one. */
-    private static String value(Figure parameter, double value) {
+    private static String value(Parameter parameter, double value) {
         return parameter.unit() == Unit.MICROSECONDS
                 ? String.format(Locale.ROOT, "%sms", number(value / MICROS_PER_MILLI))
                 : number(value);
--- a/src/main/java/wingspread/cli/LabOutage.java
+++ b/src/main/java/wingspread/cli/LabOutage.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import wingspread.config.StormConfig;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.lab.Experiment;
 import wingspread.lab.compare.Interval;
 import wingspread.lab.compare.Outage;
@@ -79,8 +79,8 @@
         Progress progress = Progress.forConsole(spec.commandLine().getErr());
         try (Experiment outage = new Experiment(scenario, options.seed(), options.threads());
                 Experiment undisturbed = new Experiment(scenario.with("trouble = []"), options.seed(), 1);
-                SoftswitchPool plain = SoftswitchPool.local(PlannerController.with(Figures.USUAL));
-                SoftswitchPool damped = SoftswitchPool.local(PlannerController.with(Figures.USUAL,
+                SoftswitchPool plain = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS));
+                SoftswitchPool damped = SoftswitchPool.local(PlannerController.with(ControlParameters.DEFAULTS,
                         StormConfig.named(storm).storm(), () -> {
                             Metrics metrics = new Metrics();
                             counters.add(metrics);
--- a/src/main/java/wingspread/wirehost/Instances.java
+++ b/src/main/java/wingspread/wirehost/Instances.java
@@ -10,7 +10,7 @@
 import wingspread.control.CallControl.Report;
 import wingspread.control.CallControl.Status;
 import wingspread.config.SettingsParser;
-import wingspread.control.Figures;
+import wingspread.control.ControlParameters;
 import wingspread.control.WindowControl;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -78,7 +78,7 @@
         instances.put(currentId, instance);
         instance.setNow(now);
         reportException(() -> instance.attach(new WindowControl(now, parsed.settings(),
-                Figures.USUAL, seed, instance)));
+                ControlParameters.DEFAULTS, seed, instance)));
     }
 
     /**
@@ -105,11 +105,11 @@
                 long exchange = in.exchange("exchange");
                 long elapsedMicros = in.u32("duration");
                 int attempt = in.u16("n");
-                deliver(instance, control -> control.onStood(now, call, attempt, exchange, elapsedMicros));
+                deliver(instance, control -> control.onCallEstablished(now, call, attempt, exchange, elapsedMicros));
             }
             case 4 -> {
                 long call = in.u64("xid");
-                deliver(instance, control -> control.onDropped(now, call));
+                deliver(instance, control -> control.onCallDropped(now, call));
             }
             case 5 -> {
                 Call call = readCall(in, now);
@@ -213,7 +213,7 @@
         for (int i = 0; i < values.length; i++) {
             values[i] = in.f32("stats");
         }
-        return instance == null ? Report.NOTHING : instance.report(values);
+        return instance == null ? Report.EMPTY : instance.report(values);
     }
 
     private static Status status(int code) {
--- a/src/main/java/wingspread/wirehost/ReplyWriter.java
+++ b/src/main/java/wingspread/wirehost/ReplyWriter.java
@@ -54,7 +54,7 @@
         });
     }
 
-    void timer(long instance, long delayMicros, long token) {
+    void setTimer(long instance, long delayMicros, long token) {
         record(instance, 4, data -> {
             data.writeInt(u32(delayMicros));
             data.writeLong(token);
@@ -69,7 +69,7 @@
         record(instance, 6, data -> writeExchange(data, exchange));
     }
 
-    void tell(long instance, int peer, byte[] message) {
+    void sendToPeer(long instance, int peer, byte[] message) {
         record(instance, 7, data -> {
             data.writeShort(peer);
             data.writeShort(message.length);
