--- a/src/main/java/wingspread/cli/Cli.java
+++ b/src/main/java/wingspread/cli/Cli.java
@@ -49,7 +49,7 @@
     /**
      * Runs a command.
      *
-     * @param serve runs the softswitch and returns its exit code
+     * @param serve starts the softswitch; returns an exit code, or -1 if the softswitch keeps running
      * @param wirehost connects the call control to the simulator and returns the exit code
      * @return the exit code of the command, as returned by {@code serve} or {@code wirehost} for these two
      */
