--- a/src/main/java/wingspread/testbed/CallerSide.java
+++ b/src/main/java/wingspread/testbed/CallerSide.java
@@ -27,42 +27,48 @@
 import wingspread.net.MessageHandler;
 
 /**
- * The callers of one softswitch, who share some connections of JSON lines and open each anew when it ends. Confined to
- * the loop.
+ * The callers of one softswitch. They share a fixed number of connections in the JSON-lines protocol; a connection that
+ * ends is opened again. Confined to the event loop.
  */
 final class CallerSide implements MessageHandler.Owner<Map<?, ?>> {
-    private static final long RECONNECT = 50_000;
-    private static final long STALL = 2_000_000;
-    private static final int REFUSED = 42;
+    private static final long RECONNECT_DELAY_MICROS = 50_000;
+    private static final long READ_PAUSE_MICROS = 2_000_000;
+    private static final int REFUSED_CAUSE = 42;
 
     private final Loop loop;
     private final int port;
-    private final Clock clock;
+    private final WallClockPacing clock;
     private final Consumer<Effect> effects;
     private final List<Channel> connections = new ArrayList<>();
-    /** Where each call that is owed an answer was offered; those that stand have no entry. */
-    private final Map<String, Channel> open = new HashMap<>();
+    /** The connection on which each unanswered call was offered; established calls have no entry. */
+    private final Map<String, Channel> unanswered = new HashMap<>();
     private long reconnects;
     private boolean closed;
 
-    /** Connects so many times. */
-    CallerSide(Loop loop, int port, int howMany, Clock clock, Consumer<Effect> effects) {
+    /**
+     * Opens the connections.
+     *
+     * @param port port of the softswitch on the loopback interface
+     * @param connectionCount number of connections to keep open, at least 1
+     * @param effects receives what the softswitch does, on the event loop
+     */
+    CallerSide(Loop loop, int port, int connectionCount, WallClockPacing clock, Consumer<Effect> effects) {
         this.loop = loop;
         this.port = port;
         this.clock = clock;
         this.effects = effects;
-        for (int i = 0; i < howMany; i++) {
+        for (int i = 0; i < connectionCount; i++) {
             connections.add(null);
             connect(i);
         }
     }
 
-    /** Connections that were opened anew. */
+    /** Returns how many connections have been opened again after they ended. */
     long reconnects() {
         return reconnects;
     }
 
-    private void connect(int which) {
+    private void connect(int index) {
         if (closed) {
             return;
         }
@@ -76,18 +82,19 @@
                     }
                 })
                 .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-                .addListener((ChannelFuture f) -> connected(which, f));
+                .addListener((ChannelFuture future) -> connected(index, future));
     }
 
-    private void connected(int which, ChannelFuture f) {
-        if (!f.isSuccess()) {
-            loop.at(loop.now() + RECONNECT, () -> connect(which));
+    private void connected(int index, ChannelFuture future) {
+        if (!future.isSuccess()) {
+            loop.at(loop.now() + RECONNECT_DELAY_MICROS, () -> connect(index));
             return;
         }
-        reconnects += connections.get(which) == null ? 0 : 1;
-        connections.set(which, f.channel());
-        // A test holds the connection open, as a caller's first message does.
-        write(f.channel(), "{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n");
+        reconnects += connections.get(index) == null ? 0 : 1;
+        connections.set(index, future.channel());
+        // The softswitch closes a connection on which no complete message arrives in time. A test request counts as
+        // one, like the first message of a caller.
+        write(future.channel(), "{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n");
     }
 
     private void write(Channel channel, String line) {
@@ -100,28 +107,29 @@
         connections.stream().filter(c -> c != null).forEach(Channel::close);
     }
 
-    /** The callers read nothing for a while, and then all that has come. */
-    void stall() {
+    /** Stops reading from all connections for {@link #READ_PAUSE_MICROS}, then reads what has arrived meanwhile. */
+    void pauseReading() {
         List<Channel> stalled = connections.stream().filter(c -> c != null && c.isActive()).toList();
         stalled.forEach(channel -> channel.config().setAutoRead(false));
-        loop.at(loop.now() + STALL, () -> stalled.forEach(channel -> channel.config().setAutoRead(true)));
+        loop.at(loop.now() + READ_PAUSE_MICROS, () -> stalled.forEach(channel -> channel.config().setAutoRead(true)));
     }
 
-    // What callers do.
+    // Messages from the callers to the softswitch.
 
+    /** Offers a call; it fails immediately if its connection is down. */
     void offer(Request request) {
         Channel channel = connections.get(Math.floorMod(request.id().hashCode(), connections.size()));
         if (channel == null || !channel.isActive()) {
-            // Whoever finds no softswitch knows at once that the try has failed.
+            // A caller without a connection to the softswitch detects the failure immediately.
             effects.accept(new Effect.Failed(request.id()));
             return;
         }
-        open.put(request.id(), channel);
+        unanswered.put(request.id(), channel);
         StringBuilder line = new StringBuilder("{\"op\":\"offer\",\"call\":");
         Json.quote(line, request.id());
         line.append(",\"with\":{\"class\":");
         Json.quote(line, request.className());
-        line.append(",\"left\":\"").append(Math.max(0, request.deadline() - clock.model()) / 1_000)
+        line.append(",\"left\":\"").append(Math.max(0, request.deadline() - clock.modelMicros()) / 1_000)
                 .append("\",\"key\":\"").append(request.number()).append('"');
         if (request.redial()) {
             line.append(",\"retry\":\"1\"");
@@ -132,36 +140,41 @@
         write(channel, line.toString());
     }
 
-    /** A caller waits no longer, or hangs up. */
-    void end(String call, int cause) {
-        Channel channel = open.remove(call);
-        Channel by = channel == null ? connections.stream().filter(c -> c != null && c.isActive()).findFirst()
-                .orElse(null) : channel;
-        if (by != null && by.isActive()) {
-            write(by, "{\"op\":\"end\",\"call\":\"" + call + "\",\"with\":{},\"why\":" + cause + "}\n");
+    /**
+     * Abandons an unanswered call or releases an established one. An established call has no connection of its own, so
+     * any open one is used.
+     *
+     * @param cause cause according to Q.850
+     */
+    void release(String call, int cause) {
+        Channel offeredOn = unanswered.remove(call);
+        Channel channel = offeredOn == null ? connections.stream().filter(c -> c != null && c.isActive()).findFirst()
+                .orElse(null) : offeredOn;
+        if (channel != null && channel.isActive()) {
+            write(channel, "{\"op\":\"end\",\"call\":\"" + call + "\",\"with\":{},\"why\":" + cause + "}\n");
         }
     }
 
-    // What they hear.
+    // Messages from the softswitch to the callers.
 
     @Override
     public void received(Channel channel, Map<?, ?> message) throws BadInput {
         String call = String.valueOf(message.get("call"));
         switch (String.valueOf(message.get("op"))) {
             case "accept" -> {
-                open.remove(call);
+                unanswered.remove(call);
                 effects.accept(new Effect.Stands(call));
             }
-            case "end" -> ended(call, message);
+            case "end" -> callEnded(call, message);
             default -> { }
         }
     }
 
-    private void ended(String call, Map<?, ?> message) {
-        int why = message.get("why") instanceof Double d ? d.intValue() : Planner.NORMAL;
-        if (open.remove(call) == null) {
-            effects.accept(new Effect.Over(call, why));
-        } else if (why == REFUSED) {
+    private void callEnded(String call, Map<?, ?> message) {
+        int cause = message.get("why") instanceof Double d ? d.intValue() : Planner.NORMAL;
+        if (unanswered.remove(call) == null) {
+            effects.accept(new Effect.Over(call, cause));
+        } else if (cause == REFUSED_CAUSE) {
             Object wait = message.get("with") instanceof Map<?, ?> with ? with.get("wait") : null;
             effects.accept(new Effect.Refused(call, wait == null ? 0 : Long.parseLong(wait.toString()) * 1_000));
         } else {
@@ -171,15 +184,15 @@
 
     @Override
     public void ended(Channel channel, CloseReason reason) {
-        int which = connections.indexOf(channel);
-        for (Map.Entry<String, Channel> call : List.copyOf(open.entrySet())) {
+        int index = connections.indexOf(channel);
+        for (Map.Entry<String, Channel> call : List.copyOf(unanswered.entrySet())) {
             if (call.getValue() == channel) {
-                open.remove(call.getKey());
+                unanswered.remove(call.getKey());
                 effects.accept(new Effect.Failed(call.getKey()));
             }
         }
-        if (which >= 0) {
-            connect(which);
+        if (index >= 0) {
+            connect(index);
         }
     }
 }
--- a/src/main/java/wingspread/testbed/ExchangeSide.java
+++ b/src/main/java/wingspread/testbed/ExchangeSide.java
@@ -26,26 +26,39 @@
 import wingspread.sip.SipMessage;
 
 /**
- * The socket at which one softswitch reaches one exchange: it says what the model's exchange does in the platform's
- * SIP, and what the softswitch sends as the model's effects. Confined to the loop.
+ * The server socket on which one softswitch reaches one exchange of the model. It translates the events of the model's
+ * exchange into SIP messages of the platform, and the messages of the softswitch into effects for the model. Confined
+ * to the event loop.
  */
 final class ExchangeSide implements MessageHandler.Owner<SipMessage> {
-    /** A set-up that has come in and where it came. */
+    /**
+     * A set-up that has not been answered.
+     *
+     * @param channel connection on which it arrived
+     * @param deadline deadline of the attempt in microseconds of the model's time
+     */
     private record Invite(Channel channel, SipMessage message, long deadline) { }
 
     private final Loop loop;
     private final long address;
     private final Consumer<Effect> effects;
-    private final Clock clock;
+    private final WallClockPacing clock;
     private final Channel listener;
     private final int port;
+    /** Open connections, oldest first. */
     private final Set<Channel> channels = new LinkedHashSet<>();
     private final Map<String, Invite> invites = new HashMap<>();
+    /** Last report as the value of the X-Gauges header; empty before the first report. */
     private String gauges = "";
     private boolean closed;
 
-    /** Listens at a free port of the loopback. */
-    ExchangeSide(Loop loop, long address, Clock clock, Consumer<Effect> effects) throws IOException {
+    /**
+     * Listens on a free port of the loopback interface.
+     *
+     * @param address address of the exchange in the model
+     * @param effects receives what the softswitch does, on the event loop
+     */
+    ExchangeSide(Loop loop, long address, WallClockPacing clock, Consumer<Effect> effects) throws IOException {
         this.port = Ports.free();
         this.loop = loop;
         this.address = address;
@@ -56,7 +69,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        opened(channel);
+                        initConnection(channel);
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).channel();
@@ -66,32 +79,32 @@
         return port;
     }
 
-    /** Whether its process has died: nothing listens. */
-    boolean closed() {
+    /** Whether the exchange has crashed, so that nothing listens on its port. */
+    boolean isClosed() {
         return closed;
     }
 
-    private void opened(Channel channel) {
+    private void initConnection(Channel channel) {
         channel.pipeline().addLast(new MessageHandler<>("stand-in exchange " + address, new SipDecoder(), this));
         channels.add(channel);
         if (!gauges.isEmpty()) {
-            loop.execute(() -> send(channel, notification()));
+            loop.execute(() -> send(channel, gaugesNotification()));
         }
     }
 
-    private SipMessage notification() {
+    private SipMessage gaugesNotification() {
         return SipMessage.request("NOTIFY", "sip:group@net").with("X-Gauges", gauges);
     }
 
-    /** The process dies: connections are reset, and further ones refused. */
-    void die() {
+    /** Simulates a crash of the exchange: connections are reset, and new ones refused. */
+    void crash() {
         closed = true;
         listener.close();
-        reset();
+        resetConnections();
     }
 
-    /** Its connections are reset; it goes on to listen. */
-    void reset() {
+    /** Resets all connections; the exchange continues to listen. */
+    void resetConnections() {
         for (Channel channel : List.copyOf(channels)) {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
             MessageHandler.close(channel, CloseReason.GONE);
@@ -105,8 +118,8 @@
         }
     }
 
-    /** The newest connection, or null. */
-    private Channel newest() {
+    /** Returns the connection that was opened last, or null if there is none. */
+    private Channel newestConnection() {
         Channel newest = null;
         for (Channel channel : channels) {
             newest = channel;
@@ -114,45 +127,48 @@
         return newest;
     }
 
-    /** Whether a set-up of this call waits here for its answer. */
-    boolean has(String call) {
+    /** Whether a set-up of this call has not been answered yet. */
+    boolean hasPendingInvite(String call) {
         return invites.containsKey(call);
     }
 
-    // What the exchange does.
+    // Messages from the exchange to the softswitch.
 
-    void answered(String call) {
+    /** Accepts a pending set-up with 200 OK. */
+    void sendAnswer(String call) {
         Invite invite = invites.remove(call);
         if (invite != null) {
             send(invite.channel(), invite.message().reply(200, "OK").with("X-Gauges", gauges));
         }
     }
 
-    void rejected(String call, Status status, Cause cause, Report report) {
+    /** Rejects a pending set-up. */
+    void sendRejection(String call, Status status, Cause cause, Report report) {
         Invite invite = invites.remove(call);
         if (invite != null) {
-            SipMessage reply = invite.message().reply(code(status), "refused").with("X-Gauges", text(report));
+            SipMessage reply = invite.message().reply(statusCode(status), "refused").with("X-Gauges", encode(report));
             send(invite.channel(), cause == Cause.NONE ? reply : reply.with("X-Outcome", outcome(cause)));
         }
     }
 
-    /** A call that stood is over at the exchange. */
-    void released(String call, int cause, Report report) {
-        Channel channel = newest();
+    /** Releases an established call with BYE, on the newest connection. */
+    void sendRelease(String call, int cause, Report report) {
+        Channel channel = newestConnection();
         if (channel != null) {
             send(channel, SipMessage.request("BYE", "sip:call@net").with("Call-ID", call).with("CSeq", "1 BYE")
-                    .with("Reason", "Q.850;cause=" + cause).with("X-Gauges", text(report)));
+                    .with("Reason", "Q.850;cause=" + cause).with("X-Gauges", encode(report)));
         }
     }
 
-    void reported(Report report) {
-        gauges = text(report);
+    /** Notifies the softswitch of new gauges, on all connections. */
+    void sendReport(Report report) {
+        gauges = encode(report);
         for (Channel channel : channels) {
-            send(channel, notification());
+            send(channel, gaugesNotification());
         }
     }
 
-    private static int code(Status status) {
+    private static int statusCode(Status status) {
         return switch (status) {
             case FULL -> 503;
             case MOOT -> 480;
@@ -173,30 +189,30 @@
         };
     }
 
-    private static String text(Report report) {
+    private static String encode(Report report) {
         StringBuilder out = new StringBuilder();
-        add(out, "idle", report.free());
-        add(out, "circuits", report.circuits());
-        add(out, "backlog", report.backlog());
-        add(out, "max_rate", report.maxRate());
+        appendGauge(out, "idle", report.free());
+        appendGauge(out, "circuits", report.circuits());
+        appendGauge(out, "backlog", report.backlog());
+        appendGauge(out, "max_rate", report.maxRate());
         return out.toString();
     }
 
-    private static void add(StringBuilder out, String name, double value) {
+    private static void appendGauge(StringBuilder out, String name, double value) {
         if (!Double.isNaN(value)) {
             out.append(out.isEmpty() ? "" : ";").append(name).append(':').append(value);
         }
     }
 
-    // What the softswitch sends.
+    // Messages from the softswitch to the exchange.
 
     @Override
     public void received(Channel channel, SipMessage message) {
         String call = message.callId();
         switch (message.isRequest() ? message.method() : "") {
             case "INVITE" -> {
-                long left = Math.max(0, SipMessage.number(message.header("X-Deadline")));
-                Invite invite = new Invite(channel, message, clock.model() + left * 1_000);
+                long remainingMillis = Math.max(0, SipMessage.number(message.header("X-Deadline")));
+                Invite invite = new Invite(channel, message, clock.modelMicros() + remainingMillis * 1_000);
                 invites.put(call, invite);
                 effects.accept(new Effect.Invite(call, (int) message.cseq() - 1, address, invite.deadline()));
             }
@@ -205,7 +221,7 @@
                 send(channel, message.reply(200, "OK"));
                 if (invite != null) {
                     effects.accept(new Effect.Withdraw(call, (int) message.cseq() - 1,
-                            clock.model() >= invite.deadline() ? Status.TIMEOUT : Status.CANCELLED));
+                            clock.modelMicros() >= invite.deadline() ? Status.TIMEOUT : Status.CANCELLED));
                 }
             }
             case "BYE" -> {
@@ -218,16 +234,16 @@
         }
     }
 
-    /** The softswitch has gone, or given this connection up: its set-ups on it are lost. */
+    /** The softswitch has crashed or closed this connection: the set-ups that arrived on it are lost. */
     @Override
     public void ended(Channel channel, CloseReason reason) {
         channels.remove(channel);
-        for (Map.Entry<String, Invite> open : List.copyOf(invites.entrySet())) {
-            if (open.getValue().channel() == channel) {
-                invites.remove(open.getKey());
+        for (Map.Entry<String, Invite> pending : List.copyOf(invites.entrySet())) {
+            if (pending.getValue().channel() == channel) {
+                invites.remove(pending.getKey());
                 if (!closed) {
-                    effects.accept(new Effect.Withdraw(open.getKey(),
-                            (int) open.getValue().message().cseq() - 1, Status.RESET));
+                    effects.accept(new Effect.Withdraw(pending.getKey(),
+                            (int) pending.getValue().message().cseq() - 1, Status.RESET));
                 }
             }
         }
--- a/src/main/java/wingspread/testbed/NameServer.java
+++ b/src/main/java/wingspread/testbed/NameServer.java
@@ -27,62 +27,76 @@
 import wingspread.net.DatagramHandler;
 import wingspread.net.Loop;
 
-/** The stand-in for the directory that one softswitch asks: DNS answers with SRV, A, TXT and SOA (RFC 1035, 2782). */
+/**
+ * A stand-in for the directory that one softswitch queries: a DNS server that answers with SRV, A, TXT and SOA records
+ * (RFC 1035, RFC 2782).
+ */
 public final class NameServer {
-    private static final int HEADER = 12;
-    private static final int A = 1;
-    private static final int SOA = 6;
-    private static final int TXT = 16;
-    private static final int SRV = 33;
+    private static final int HEADER_BYTES = 12;
+    private static final int TYPE_A = 1;
+    private static final int TYPE_SOA = 6;
+    private static final int TYPE_TXT = 16;
+    private static final int TYPE_SRV = 33;
     private static final int CLASS_IN = 1;
     private static final String[] SERVICE = {"_back", "_tcp", "pool", "lan"};
 
-    /** An exchange as the directory names it; {@code startedMs} in Unix milliseconds, 0 for long past. */
+    /**
+     * An exchange as the directory lists it.
+     *
+     * @param uid unique id of the exchange, the first label of its host name
+     * @param zone zone of the exchange, the second label of its host name
+     * @param place number of the exchange's place in the fleet, {@code cell} in the TXT record
+     * @param port port on the loopback interface
+     * @param readiness READY gives SRV priority 0, any other value 1
+     * @param startedMs start time in Unix milliseconds; 0 stands for the distant past
+     */
     public record Named(String uid, String zone, int place, int port, Readiness readiness, long startedMs) { }
 
-    /** Bytes of an answer over UDP; a longer list is cut after its last whole exchange, and had whole over TCP. */
-    private static final int MOST_UDP = 8_000;
-    private static final int TRUNCATED = 0x0200;
-    private static final int LONGEST = 65_535;
+    /** Maximum length of an answer over UDP; a longer list is truncated after an exchange, and complete over TCP. */
+    private static final int MAX_UDP_BYTES = 8_000;
+    private static final int FLAG_TRUNCATED = 0x0200;
+    /** Limit of the 16-bit length prefix of DNS over TCP. */
+    private static final int MAX_TCP_BYTES = 65_535;
 
-    private final Channel channel;
-    private final Channel whole;
-    private final Map<String, Named> named = new LinkedHashMap<>();
+    private final Channel udpChannel;
+    private final Channel tcpListener;
+    /** The listed exchanges by their uid. */
+    private final Map<String, Named> exchanges = new LinkedHashMap<>();
     private int serial = 1;
 
-    /** Answers at a free port of the loopback, the same one over UDP and over TCP. */
+    /** Answers on a free port of the loopback interface, the same one for UDP and TCP. */
     NameServer(Loop loop) {
         InetAddress local = InetAddress.getLoopbackAddress();
-        whole = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
+        tcpListener = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel connection) {
-                        connection.pipeline().addLast(new LengthFieldBasedFrameDecoder(LONGEST, 0, 2, 0, 2),
-                                new LengthFieldPrepender(2), new WholeAnswer());
+                        connection.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_TCP_BYTES, 0, 2, 0, 2),
+                                new LengthFieldPrepender(2), new TcpQueryHandler());
                     }
                 })
                 .bind(new InetSocketAddress(local, 0)).syncUninterruptibly().channel();
-        channel = new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
+        udpChannel = new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
                 .handler(new DatagramHandler("name server", (ctx, bytes, sender) ->
                         ctx.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(
-                                answer(checked(bytes), serial, named.values(), MOST_UDP)), sender))))
-                .bind(new InetSocketAddress(local, ((InetSocketAddress) whole.localAddress()).getPort()))
+                                answer(withHeader(bytes), serial, exchanges.values(), MAX_UDP_BYTES)), sender))))
+                .bind(new InetSocketAddress(local, ((InetSocketAddress) tcpListener.localAddress()).getPort()))
                 .syncUninterruptibly().channel();
     }
 
-    private static byte[] checked(byte[] question) throws BadInput {
-        if (question.length < HEADER) {
-            throw new BadInput("DNS: the question ends early");
+    private static byte[] withHeader(byte[] question) throws BadInput {
+        if (question.length < HEADER_BYTES) {
+            throw new BadInput("DNS: query shorter than its header");
         }
         return question;
     }
 
-    /** Answers the questions of one connection. */
-    private final class WholeAnswer extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Answers the queries of one TCP connection, without truncation. */
+    private final class TcpQueryHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf question) throws BadInput {
             ctx.writeAndFlush(Unpooled.wrappedBuffer(
-                    answer(checked(ByteBufUtil.getBytes(question)), serial, named.values(), LONGEST)));
+                    answer(withHeader(ByteBufUtil.getBytes(question)), serial, exchanges.values(), MAX_TCP_BYTES)));
         }
 
         @Override
@@ -92,99 +106,108 @@
     }
 
     int port() {
-        return ((InetSocketAddress) channel.localAddress()).getPort();
+        return ((InetSocketAddress) udpChannel.localAddress()).getPort();
     }
 
-    /** Names an exchange, or another state of it; on the loop. */
-    void name(Named one) {
-        named.put(one.uid(), one);
+    /** Lists an exchange or updates its entry; called on the event loop. */
+    void put(Named exchange) {
+        exchanges.put(exchange.uid(), exchange);
         serial++;
     }
 
-    /** Names it no longer; on the loop. */
-    void forget(String uid) {
-        named.remove(uid);
+    /** Removes an exchange from the list; called on the event loop. */
+    void remove(String uid) {
+        exchanges.remove(uid);
         serial++;
     }
 
     void close() {
-        channel.close();
-        whole.close();
+        udpChannel.close();
+        tcpListener.close();
     }
 
-    /** The answer to a question, with the whole list or as much of it as the bytes hold. */
-    public static byte[] answer(byte[] question, int serial, Collection<Named> all, int most) {
+    /**
+     * Returns the answer to a query, with the complete list or as many exchanges as fit; in the latter case the answer
+     * is marked as truncated.
+     *
+     * @param question the query, at least as long as a DNS header
+     * @param serial serial number of the list in the SOA record
+     * @param all the complete list
+     * @param maxBytes maximum length of the answer
+     */
+    public static byte[] answer(byte[] question, int serial, Collection<Named> all, int maxBytes) {
         byte[] answer = answer(question, serial, all, false);
-        // Each exchange takes as many bytes as the next, but for some digits.
-        long fitting = (long) all.size() * most / answer.length;
-        while (answer.length > most) {
+        // All exchanges take nearly the same number of bytes; only the number of their digits differs.
+        long fitting = (long) all.size() * maxBytes / answer.length;
+        while (answer.length > maxBytes) {
             answer = answer(question, serial, all.stream().limit(fitting--).toList(), true);
         }
         return answer;
     }
 
-    private static byte[] answer(byte[] question, int serial, Collection<Named> list, boolean cut) {
+    private static byte[] answer(byte[] question, int serial, Collection<Named> list, boolean truncated) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(question, 0, 2);
-        u16(out, 0x8400 | (cut ? TRUNCATED : 0), 1, list.size(), 1, 2 * list.size());
-        out.write(question, HEADER, question.length - HEADER);
-        for (Named one : list) {
-            byte[] target = name(one.uid(), one.zone(), "hosts");
-            record(out, name(SERVICE), SRV, bytes(b -> {
-                u16(b, one.readiness() == Readiness.READY ? 0 : 1, 10, one.port());
-                b.writeBytes(target);
+        writeU16(out, 0x8400 | (truncated ? FLAG_TRUNCATED : 0), 1, list.size(), 1, 2 * list.size());
+        out.write(question, HEADER_BYTES, question.length - HEADER_BYTES);
+        for (Named exchange : list) {
+            byte[] target = encodeName(exchange.uid(), exchange.zone(), "hosts");
+            writeRecord(out, encodeName(SERVICE), TYPE_SRV, encode(data -> {
+                writeU16(data, exchange.readiness() == Readiness.READY ? 0 : 1, 10, exchange.port());
+                data.writeBytes(target);
             }));
         }
-        record(out, name(SERVICE), SOA, bytes(b -> {
-            b.writeBytes(name(SERVICE));
-            b.writeBytes(name(SERVICE));
-            u16(b, serial >>> 16, serial & 0xffff);
-            u16(b, 0, 1, 0, 1, 0, 1, 0, 1);
+        writeRecord(out, encodeName(SERVICE), TYPE_SOA, encode(data -> {
+            data.writeBytes(encodeName(SERVICE));
+            data.writeBytes(encodeName(SERVICE));
+            writeU16(data, serial >>> 16, serial & 0xffff);
+            writeU16(data, 0, 1, 0, 1, 0, 1, 0, 1);
         }));
-        for (Named one : list) {
-            byte[] target = name(one.uid(), one.zone(), "hosts");
-            record(out, target, A, InetAddress.getLoopbackAddress().getAddress());
-            record(out, target, TXT, bytes(b -> {
-                text(b, "kind=std");
-                text(b, "cell=" + one.place());
-                text(b, "started=" + one.startedMs());
+        for (Named exchange : list) {
+            byte[] target = encodeName(exchange.uid(), exchange.zone(), "hosts");
+            writeRecord(out, target, TYPE_A, InetAddress.getLoopbackAddress().getAddress());
+            writeRecord(out, target, TYPE_TXT, encode(data -> {
+                writeCharacterString(data, "kind=std");
+                writeCharacterString(data, "cell=" + exchange.place());
+                writeCharacterString(data, "started=" + exchange.startedMs());
             }));
         }
         return out.toByteArray();
     }
 
-    /** Writes some bytes. */
+    /** Writes the data of a record or name. */
     private interface Writer {
-        void to(ByteArrayOutputStream out);
+        void writeTo(ByteArrayOutputStream out);
     }
 
-    private static byte[] bytes(Writer writer) {
+    private static byte[] encode(Writer writer) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        writer.to(out);
+        writer.writeTo(out);
         return out.toByteArray();
     }
 
-    private static void record(ByteArrayOutputStream out, byte[] name, int type, byte[] data) {
+    private static void writeRecord(ByteArrayOutputStream out, byte[] name, int type, byte[] data) {
         out.writeBytes(name);
-        u16(out, type, CLASS_IN, 0, 0, data.length);
+        writeU16(out, type, CLASS_IN, 0, 0, data.length);
         out.writeBytes(data);
     }
 
-    private static byte[] name(String... labels) {
-        return bytes(b -> {
+    private static byte[] encodeName(String... labels) {
+        return encode(data -> {
             for (String label : labels) {
-                text(b, label);
+                writeCharacterString(data, label);
             }
-            b.write(0);
+            data.write(0);
         });
     }
 
-    private static void text(ByteArrayOutputStream out, String text) {
+    /** Writes a length byte and the text, which is the encoding of both labels and character strings of TXT. */
+    private static void writeCharacterString(ByteArrayOutputStream out, String text) {
         out.write(text.length());
         out.writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void u16(ByteArrayOutputStream out, int... values) {
+    private static void writeU16(ByteArrayOutputStream out, int... values) {
         for (int value : values) {
             out.write(value >> 8);
             out.write(value);
--- a/src/main/java/wingspread/testbed/Place.java
+++ b/src/main/java/wingspread/testbed/Place.java
@@ -15,43 +15,55 @@
 import wingspread.net.Loop;
 
 /**
- * One softswitch with all that it is joined to: its callers, the exchanges that it reaches, its directory. Happenings
- * become messages on its wires, and what it sends becomes effects, which wait until the model takes them.
+ * One softswitch with its simulated environment: its callers, the exchanges that it reaches and its directory. Events
+ * of the model become messages to the softswitch. The messages of the softswitch become effects, which are queued until
+ * the model drains them.
  */
 final class Place {
-    /** The directory has told more by then, or tells it again, which changes nothing. */
-    private static final int FIRST_EVENT = 1;
+    /**
+     * Revision of the cached list. The directory serves a later revision by the time it is queried, or the same one,
+     * which changes nothing.
+     */
+    private static final int CACHED_REVISION = 1;
 
     private final int place;
     private final Loop loop;
-    private final Clock clock;
+    private final WallClockPacing clock;
     private final SoftswitchProcess process;
-    private final NameServer names;
+    private final NameServer nameServer;
     private final int port;
     private final int connections;
     private final Queue<Effect> effects = new ConcurrentLinkedQueue<>();
-    // Confined to the loop from here on.
+    // The fields from here on are confined to the event loop.
     private final Map<Long, ExchangeSide> exchanges = new LinkedHashMap<>();
     private final Map<Long, NameServer.Named> listed = new LinkedHashMap<>();
     private volatile CallerSide callers;
     private Start start;
 
-    Place(int place, Loop loop, Clock clock, SoftswitchProcess process, int connections) throws IOException {
+    /**
+     * Creates the environment of a softswitch that has not been started.
+     *
+     * @param place number of the softswitch in the fleet
+     * @param connections number of connections that its callers share
+     * @throws IOException if no port is free
+     */
+    Place(int place, Loop loop, WallClockPacing clock, SoftswitchProcess process, int connections) throws IOException {
         this.place = place;
         this.loop = loop;
         this.clock = clock;
         this.process = process;
         this.connections = connections;
-        this.names = new NameServer(loop);
+        this.nameServer = new NameServer(loop);
         this.port = Ports.free();
     }
 
-    /** Notes how it is to start; it does so with the first list of exchanges. */
-    void begin(Start how) {
-        start = how;
+    /** Sets the settings and seed of the process, which is started later with the first list of exchanges. */
+    void setStart(Start newStart) {
+        start = newStart;
     }
 
-    boolean started() {
+    /** Whether the softswitch has been started and its callers have started to connect. */
+    boolean isStarted() {
         return callers != null;
     }
 
@@ -59,6 +71,7 @@
         return port;
     }
 
+    /** Returns the callers; null before {@link #connect}. */
     CallerSide callers() {
         return callers;
     }
@@ -67,30 +80,31 @@
         return process;
     }
 
-    /** Starts the process with the exchanges that the model names first; on the loop. */
+    /** Starts the process with the exchanges that the first events of the model list; called on the event loop. */
     void start(List<Happening> first) throws IOException {
         for (Happening happening : first) {
             if (happening instanceof Happening.Listed listing) {
-                listed(listing.entries());
+                updateDirectory(listing.entries());
             }
         }
-        process.configure(start.settings(), start.seed(), port, names.port(), listed.values(), FIRST_EVENT);
+        process.configure(start.settings(), start.seed(), port, nameServer.port(), listed.values(), CACHED_REVISION);
         process.start();
     }
 
-    /** It listens: the callers connect; on the loop. */
+    /** Connects the callers, once the softswitch listens; called on the event loop. */
     void connect() {
         callers = new CallerSide(loop, port, connections, clock, effects::add);
     }
 
-    /** Starts it again after its end, with the list as it is now; on the loop. */
-    void startAgain() throws IOException {
-        process.configure(start.settings(), start.seed() + 1, port, names.port(), listed.values(), FIRST_EVENT);
+    /** Starts the process again after its end, with the current list of exchanges; called on the event loop. */
+    void restart() throws IOException {
+        process.configure(start.settings(), start.seed() + 1, port, nameServer.port(), listed.values(),
+                CACHED_REVISION);
         process.start();
     }
 
-    /** What it has done since the last time. */
-    List<Effect> drain() {
+    /** Returns the effects since the last call, and removes them from the queue. */
+    List<Effect> drainEffects() {
         List<Effect> out = new ArrayList<>();
         for (Effect effect = effects.poll(); effect != null; effect = effects.poll()) {
             out.add(effect);
@@ -98,37 +112,38 @@
         return out;
     }
 
-    /** Tells it what has happened; on the loop. */
-    void tell(Happening happening) throws IOException {
+    /** Sends an event of the model to the softswitch; called on the event loop. */
+    void deliver(Happening happening) throws IOException {
         if (happening instanceof Happening.Offered h) {
             callers.offer(h.request());
         } else if (happening instanceof Happening.GivenUp h) {
-            callers.end(h.call(), 16);
+            callers.release(h.call(), 16);
         } else if (happening instanceof Happening.CallerEnded h) {
-            callers.end(h.call(), h.cause());
+            callers.release(h.call(), h.cause());
         } else if (happening instanceof Happening.Answered h && exchanges.containsKey(h.exchange())) {
-            exchanges.get(h.exchange()).answered(h.call());
+            exchanges.get(h.exchange()).sendAnswer(h.call());
         } else if (happening instanceof Happening.Rejected h && exchanges.containsKey(h.exchange())) {
-            exchanges.get(h.exchange()).rejected(h.call(), h.status(), h.cause(), h.report());
+            exchanges.get(h.exchange()).sendRejection(h.call(), h.status(), h.cause(), h.report());
         } else if (happening instanceof Happening.Released h && exchanges.containsKey(h.exchange())) {
-            exchanges.get(h.exchange()).released(h.call(), h.cause(), h.report());
+            exchanges.get(h.exchange()).sendRelease(h.call(), h.cause(), h.report());
         } else if (happening instanceof Happening.Reported h && exchanges.containsKey(h.exchange())) {
-            exchanges.get(h.exchange()).reported(h.report());
+            exchanges.get(h.exchange()).sendReport(h.report());
         } else if (happening instanceof Happening.Broken h) {
-            // The exchange that could not be reached has died: so do its sockets.
-            exchanges.values().stream().filter(side -> side.has(h.call())).toList().forEach(ExchangeSide::die);
+            // The exchange could not be reached, that is, it has crashed: its sockets are closed with a reset.
+            exchanges.values().stream().filter(side -> side.hasPendingInvite(h.call())).toList()
+                    .forEach(ExchangeSide::crash);
         } else if (happening instanceof Happening.Listed h) {
-            listed(h.entries());
+            updateDirectory(h.entries());
         }
     }
 
-    private void listed(List<Exchange> entries) throws IOException {
+    private void updateDirectory(List<Exchange> entries) throws IOException {
         for (Exchange entry : entries) {
-            listed(entry);
+            updateDirectory(entry);
         }
     }
 
-    private void listed(Exchange entry) throws IOException {
+    private void updateDirectory(Exchange entry) throws IOException {
         if (entry.place() == place) {
             return;
         }
@@ -136,34 +151,34 @@
         String uid = "x" + entry.address();
         if (entry.readiness() == Readiness.GONE) {
             if (side != null) {
-                side.die();
+                side.crash();
                 exchanges.remove(entry.address());
             }
             listed.remove(entry.address());
-            names.forget(uid);
+            nameServer.remove(uid);
             return;
         }
-        if (side == null || side.closed()) {
+        if (side == null || side.isClosed()) {
             side = new ExchangeSide(loop, entry.address(), clock, effects::add);
             exchanges.put(entry.address(), side);
         }
-        NameServer.Named named = new NameServer.Named(uid, "z" + entry.zone(), entry.place(), side.port(),
+        NameServer.Named listing = new NameServer.Named(uid, "z" + entry.zone(), entry.place(), side.port(),
                 entry.readiness(), clock.unixMillis(entry.upSince()));
-        listed.put(entry.address(), named);
-        names.name(named);
+        listed.put(entry.address(), listing);
+        nameServer.put(listing);
     }
 
-    /** All its exchanges' connections are reset; on the loop. */
-    void reset() {
-        exchanges.values().forEach(ExchangeSide::reset);
+    /** Resets the connections of all its exchanges; called on the event loop. */
+    void resetExchangeConnections() {
+        exchanges.values().forEach(ExchangeSide::resetConnections);
     }
 
-    /** Ends the sockets; on the loop. */
+    /** Closes all sockets; called on the event loop. */
     void close() {
         if (callers != null) {
             callers.close();
         }
-        exchanges.values().forEach(ExchangeSide::die);
-        names.close();
+        exchanges.values().forEach(ExchangeSide::crash);
+        nameServer.close();
     }
 }
--- a/src/main/java/wingspread/testbed/Ports.java
+++ b/src/main/java/wingspread/testbed/Ports.java
@@ -6,32 +6,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Free ports of the loopback for stand-ins and softswitches. They lie below the range from which kernels take the ports
- * of outgoing connections, so that none of these takes one away before it is listened at; and none is given out twice
- * before all others were.
+ * Finds free ports of the loopback interface for stand-ins and softswitches. The ports lie below the range from which
+ * kernels choose the ports of outgoing connections, so that no such connection takes a port before its owner binds it.
+ * A port is not returned a second time until all others have been tried.
  */
 public final class Ports {
-    private static final int FIRST = 10_000;
-    private static final int COUNT = 20_000;
-    /** Where the search goes on; other programs of this kind begin elsewhere. */
-    private static final AtomicInteger NEXT = new AtomicInteger(
-            (int) (ProcessHandle.current().pid() * 1_009 % COUNT));
+    private static final int FIRST_PORT = 10_000;
+    private static final int PORT_COUNT = 20_000;
+    /** Next offset to try. It starts at a value derived from the pid, so that parallel runs try different ports. */
+    private static final AtomicInteger NEXT_OFFSET = new AtomicInteger(
+            (int) (ProcessHandle.current().pid() * 1_009 % PORT_COUNT));
 
     private Ports() { }
 
     /**
-     * One that nothing listens at now.
+     * Returns a port on which nothing listens at present.
      *
-     * @throws IOException where there is none
+     * @throws IOException if no port is free
      */
     public static int free() throws IOException {
-        for (int tried = 0; tried < COUNT; tried++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+        for (int checked = 0; checked < PORT_COUNT; checked++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new IOException("no port between " + FIRST + " and " + (FIRST + COUNT) + " is free");
+        throw new IOException("no free port between " + FIRST_PORT + " and " + (FIRST_PORT + PORT_COUNT)
+                + " on the loopback interface");
     }
 
     private static boolean isFree(int port) {
--- a/src/main/java/wingspread/testbed/SocketSoftswitches.java
+++ b/src/main/java/wingspread/testbed/SocketSoftswitches.java
@@ -21,156 +21,166 @@
 import wingspread.net.UnixClock;
 
 /**
- * The softswitches of a model as real processes on the loopback, reached over the platform's wires. The model stays
- * what it is: exchanges, circuits, callers, troubles and rules are the laboratory's, but time is the wall's.
+ * Runs the softswitches of a model as real processes on the loopback interface, reached over the platform's protocols.
+ * Exchanges, circuits, callers, faults and rules are still simulated by the model, but in wall-clock time.
  */
 public final class SocketSoftswitches implements Softswitches {
-    /** The model asks so often, in microseconds, what the softswitches have sent. */
-    private static final long POLL = 1_000;
-    private static final long LONGEST_START = 20;
-    private static final long RESTART_AFTER = 500_000;
+    /** Interval at which the model collects what the softswitches have sent. */
+    private static final long POLL_INTERVAL_MICROS = 1_000;
+    private static final long START_TIMEOUT_SECONDS = 20;
+    private static final long RESTART_DELAY_MICROS = 500_000;
 
-    /** Something that befalls the softswitch of a place so many microseconds after the start. */
-    public record Fault(Kind kind, int place, long at) { }
+    /**
+     * A fault to inject into one softswitch.
+     *
+     * @param place number of the softswitch in the fleet
+     * @param atMicros time of the fault in microseconds since the start
+     */
+    public record Fault(Kind kind, int place, long atMicros) { }
 
-    /** What it is. */
+    /** Kinds of faults. */
     public enum Kind {
-        /** Its process is killed, and started again half a second later. */
+        /** Terminates the process with SIGKILL and starts it again half a second later. */
         KILL,
-        /** All exchanges' connections to it are reset. */
+        /** Resets all connections between the softswitch and the exchanges. */
         RESET,
-        /** Its callers read nothing for two seconds. */
+        /** Makes the callers of the softswitch stop reading for two seconds. */
         STALL
     }
 
-    private final Clock clock = new Clock();
+    private final WallClockPacing clock = new WallClockPacing();
     private final Loop loop = new Loop(new UnixClock());
     private final Path folder;
     private final String storm;
     private final int connections;
     private final List<Fault> faults;
-    private final List<Place> places = new CopyOnWriteArrayList<>();
-    private final List<Fault> toRestart = new ArrayList<>();
-    /** Guards the machine: where this program is ended from outside, the softswitches do not outlive it. */
-    private final Thread atExit = new Thread(this::killAll, "testbed end");
-    private long startsAt;
+    private final List<Place> environments = new CopyOnWriteArrayList<>();
+    private final List<Fault> pendingRestarts = new ArrayList<>();
+    /** Kills the softswitches if this program is terminated early; otherwise they would continue to run. */
+    private final Thread shutdownHook = new Thread(this::killAll, "testbed shutdown");
+    /** Start of the run in microseconds of the model's time. */
+    private long startedAt;
 
     /**
-     * Softswitches that are started with the first turn.
+     * Creates softswitches that are started in the first turn.
      *
-     * @param storm the text of their {@code deploy/storm.toml}; null for none
-     * @param connections of the callers of each
+     * @param folder directory for the configurations and logs, with one subdirectory for each softswitch
+     * @param storm text of their {@code deploy/storm.toml}; null for no such file
+     * @param connections number of connections that the callers of each softswitch share
      */
     public SocketSoftswitches(Path folder, String storm, int connections, List<Fault> faults) {
         this.folder = folder;
         this.storm = storm;
         this.connections = connections;
         this.faults = new ArrayList<>(faults);
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** The time by which the model has to be driven. */
+    /** Returns the pacing with which the model has to be run. */
     public Model.Pacing pacing() {
         return clock;
     }
 
     @Override
     public void begin(long now, List<Start> starts) {
-        startsAt = now;
+        startedAt = now;
         try {
             for (Start start : starts) {
-                int place = places.size();
-                Place one = new Place(place, loop, clock, new SoftswitchProcess(folder.resolve("place-" + place),
-                        storm, SoftswitchProcess.Launch.AMPLE), connections);
-                one.begin(start);
-                places.add(one);
+                int place = environments.size();
+                Place environment = new Place(place, loop, clock,
+                        new SoftswitchProcess(folder.resolve("place-" + place), storm,
+                                SoftswitchProcess.Launch.DEFAULT), connections);
+                environment.setStart(start);
+                environments.add(environment);
             }
         } catch (IOException e) {
-            throw new HostException("a softswitch cannot be prepared: " + e.getMessage());
+            throw new HostException("failed to prepare a softswitch: " + e.getMessage());
         }
     }
 
     @Override
     public List<Output> turn(long now, List<Input> inputs) {
-        startAll(inputs);
-        faults(now);
+        startNew(inputs);
+        injectDueFaults(now);
         List<Output> out = new ArrayList<>(inputs.size());
         loop.execute(unchecked(() -> {
             for (Input input : inputs) {
                 for (Happening happening : input.happenings()) {
-                    places.get(input.place()).tell(happening);
+                    environments.get(input.place()).deliver(happening);
                 }
             }
         }));
         for (Input input : inputs) {
-            out.add(new Output(input.place(), places.get(input.place()).drain(), now + POLL));
+            out.add(new Output(input.place(), environments.get(input.place()).drainEffects(),
+                    now + POLL_INTERVAL_MICROS));
         }
         return out;
     }
 
     private void killAll() {
-        places.stream().filter(place -> place.process().alive()).forEach(place -> place.process().kill());
+        environments.stream().filter(environment -> environment.process().alive())
+                .forEach(environment -> environment.process().kill());
     }
 
-    private void startAll(List<Input> inputs) {
-        List<Place> fresh = new ArrayList<>();
+    private void startNew(List<Input> inputs) {
+        List<Place> started = new ArrayList<>();
         for (Input input : inputs) {
-            Place place = places.get(input.place());
-            if (!place.started()) {
-                onLoop(() -> place.start(input.happenings()));
-                fresh.add(place);
+            Place environment = environments.get(input.place());
+            if (!environment.isStarted()) {
+                runOnLoop(() -> environment.start(input.happenings()));
+                started.add(environment);
             }
         }
-        for (Place place : fresh) {
-            awaitListening(place);
-            onLoop(place::connect);
+        for (Place environment : started) {
+            awaitListening(environment);
+            runOnLoop(environment::connect);
         }
     }
 
-    private static void awaitListening(Place place) {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_START);
+    private static void awaitListening(Place environment) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_TIMEOUT_SECONDS);
         while (true) {
             try {
-                new Socket(InetAddress.getLoopbackAddress(), place.port()).close();
+                new Socket(InetAddress.getLoopbackAddress(), environment.port()).close();
                 return;
             } catch (IOException e) {
-                if (!place.process().alive() || System.nanoTime() > until) {
-                    throw new HostException("a softswitch does not start; see " + place.process().log());
+                if (!environment.process().alive() || System.nanoTime() > deadline) {
+                    throw new HostException("a softswitch failed to start; see " + environment.process().log());
                 }
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
             }
         }
     }
 
-    private void faults(long now) {
+    private void injectDueFaults(long now) {
         for (Fault fault : List.copyOf(faults)) {
-            if (now >= startsAt + fault.at()) {
+            if (now >= startedAt + fault.atMicros()) {
                 faults.remove(fault);
-                strike(fault, now);
+                inject(fault, now);
             }
         }
-        for (Fault again : List.copyOf(toRestart)) {
-            if (now >= again.at()) {
-                toRestart.remove(again);
-                Place place = places.get(again.place());
-                loop.execute(unchecked(place::startAgain));
+        for (Fault restart : List.copyOf(pendingRestarts)) {
+            if (now >= restart.atMicros()) {
+                pendingRestarts.remove(restart);
+                Place environment = environments.get(restart.place());
+                loop.execute(unchecked(environment::restart));
             }
         }
     }
 
-    private void strike(Fault fault, long now) {
-        Place place = places.get(fault.place());
+    private void inject(Fault fault, long now) {
+        Place environment = environments.get(fault.place());
         switch (fault.kind()) {
             case KILL -> {
-                place.process().kill();
-                toRestart.add(new Fault(Kind.KILL, fault.place(), now + RESTART_AFTER));
+                environment.process().kill();
+                pendingRestarts.add(new Fault(Kind.KILL, fault.place(), now + RESTART_DELAY_MICROS));
             }
-            case RESET -> loop.execute(place::reset);
-            default -> loop.execute(() -> place.callers().stall());
+            case RESET -> loop.execute(environment::resetExchangeConnections);
+            default -> loop.execute(() -> environment.callers().pauseReading());
         }
     }
 
-    /** Something that may fail on a file. */
+    /** A task that may fail with an I/O error. */
     private interface Task {
         void run() throws IOException;
     }
@@ -185,48 +195,51 @@
         };
     }
 
-    private void onLoop(Task task) {
+    /** Runs a task on the event loop and waits until it has completed. */
+    private void runOnLoop(Task task) {
         CompletableFuture<Void> done = CompletableFuture.runAsync(unchecked(task), loop::execute);
         try {
             done.join();
         } catch (CompletionException e) {
-            throw new HostException("a softswitch cannot be started: " + e.getCause().getMessage());
+            throw new HostException("failed to start a softswitch: " + e.getCause().getMessage());
         }
     }
 
-    /** Connections of callers that were opened anew, over all places. */
+    /** Returns how many connections of callers have been opened again after they ended, over all softswitches. */
     public long reconnects() {
-        return places.stream().filter(Place::started).mapToLong(place -> place.callers().reconnects()).sum();
+        return environments.stream().filter(Place::isStarted)
+                .mapToLong(environment -> environment.callers().reconnects()).sum();
     }
 
-    /** The last lines of counters, one for each process that ended in good order. */
+    /** Returns the final counters, one log line for each process that shut down gracefully. */
     public List<String> counters() {
         List<String> out = new ArrayList<>();
         try {
-            for (Place place : places) {
-                place.process().lines().stream().filter(line -> line.contains("counters ")).forEach(out::add);
+            for (Place environment : environments) {
+                environment.process().lines().stream().filter(line -> line.contains("counters "))
+                        .forEach(out::add);
             }
         } catch (IOException e) {
-            throw new HostException("a softswitch's log cannot be read: " + e.getMessage());
+            throw new HostException("failed to read the log of a softswitch: " + e.getMessage());
         }
         return out;
     }
 
     @Override
     public void close() {
-        places.forEach(place -> place.process().end());
+        environments.forEach(environment -> environment.process().end());
         try {
-            for (Place place : places) {
-                place.process().awaitEnd();
+            for (Place environment : environments) {
+                environment.process().awaitTermination();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             killAll();
             throw new CancellationException("interrupted");
         } finally {
-            loop.execute(() -> places.forEach(Place::close));
+            loop.execute(() -> environments.forEach(Place::close));
             loop.stop();
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         }
     }
 }
--- a/src/main/java/wingspread/testbed/SoftswitchProcess.java
+++ b/src/main/java/wingspread/testbed/SoftswitchProcess.java
@@ -19,12 +19,12 @@
 import wingspread.control.CallControl.Readiness;
 import wingspread.control.CallControl.Settings;
 
-/** A real softswitch in a process of its own, with its configuration and its log in a folder. */
+/** A softswitch that runs as a separate process, with its configuration and its log in one directory. */
 public final class SoftswitchProcess {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long CONNECT_TIMEOUT = 500_000;
-    private static final int LONGEST_END = 6;
-    private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+    private static final long CONNECT_TIMEOUT_MICROS = 500_000;
+    private static final int TERMINATION_TIMEOUT_SECONDS = 6;
+    private static final List<String> JVM_FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData");
 
     private final Path folder;
@@ -32,23 +32,24 @@
     private Process process;
 
     /**
-     * How it is started.
+     * Resources and program of a process.
      *
-     * @param heapMb megabytes of the JVM's heap
-     * @param sockets descriptors, as its configuration states them
-     * @param build the program's jars and folders of classes; those of this program where it is empty
-     * @param jvmArguments further arguments of the JVM
+     * @param heapMb maximum heap of the JVM in megabytes
+     * @param sockets limit of file descriptors in its configuration
+     * @param classPath jars and class directories of the program; if empty, those of this program
+     * @param jvmArguments additional arguments of the JVM
      */
-    public record Launch(int heapMb, int sockets, List<Path> build, List<String> jvmArguments) {
-        /** This program, with what is ample for a run of the laboratory's model. */
-        static final Launch AMPLE = new Launch(96, 8_192, List.of(), List.of());
+    public record Launch(int heapMb, int sockets, List<Path> classPath, List<String> jvmArguments) {
+        /** This program, with resources that are sufficient for a run of the model. */
+        static final Launch DEFAULT = new Launch(96, 8_192, List.of(), List.of());
     }
 
     /**
-     * A softswitch that is not started yet.
+     * Prepares a softswitch without starting it.
      *
-     * @param storm what stands in its {@code deploy/storm.toml}; null for no such file
-     * @throws IOException where its folder cannot be written
+     * @param folder directory for its configuration and log; created if missing
+     * @param storm text of its {@code deploy/storm.toml}; null for no such file
+     * @throws IOException if the directory cannot be written
      */
     public SoftswitchProcess(Path folder, String storm, Launch launch) throws IOException {
         this.folder = Files.createDirectories(folder);
@@ -58,72 +59,81 @@
         }
     }
 
-    /** Writes what the platform would tell it; {@code rev} is the number of the event that {@code known} holds. */
-    public void configure(Settings settings, long seed, int port, int namesPort, Collection<NameServer.Named> known,
-            int rev) throws IOException {
+    /**
+     * Writes the configuration that the platform would provide.
+     *
+     * @param port port on which the softswitch accepts callers
+     * @param nameServerPort port of the name server of its directory
+     * @param known cached list of exchanges
+     * @param revision revision of the cached list
+     */
+    public void configure(Settings settings, long seed, int port, int nameServerPort,
+            Collection<NameServer.Named> known, int revision) throws IOException {
         ObjectNode out = JSON.createObjectNode().put("name", "n" + settings.ownPlace())
                 .put("listen", "127.0.0.1:" + port).put("seed", Long.toHexString(seed))
-                .put("names", "127.0.0.1:" + namesPort);
+                .put("names", "127.0.0.1:" + nameServerPort);
         out.putObject("limits").put("sockets", launch.sockets());
-        out.set("settings", settings(settings, known));
-        ArrayNode targets = out.putObject("known").put("rev", rev).putArray("notices").addObject().put("rev", 1)
+        out.set("settings", encodeSettings(settings, known));
+        ArrayNode targets = out.putObject("known").put("rev", revision).putArray("notices").addObject().put("rev", 1)
                 .putObject("pool").put("all", true).putArray("targets");
-        for (NameServer.Named one : known) {
-            targets.addObject().put("uid", one.uid()).put("endpoint", "127.0.0.1:" + one.port()).put("az", one.zone())
-                    .put("model", "std").put("pod_group", one.place())
-                    .put("state", one.readiness() == Readiness.READY ? "up" : "draining").put("capacity_hint", 1)
-                    .put("boot_ms", one.startedMs());
+        for (NameServer.Named exchange : known) {
+            targets.addObject().put("uid", exchange.uid()).put("endpoint", "127.0.0.1:" + exchange.port())
+                    .put("az", exchange.zone())
+                    .put("model", "std").put("pod_group", exchange.place())
+                    .put("state", exchange.readiness() == Readiness.READY ? "up" : "draining").put("capacity_hint", 1)
+                    .put("boot_ms", exchange.startedMs());
         }
         JSON.writeValue(folder.resolve("config.json").toFile(), out);
     }
 
-    private static ObjectNode settings(Settings s, Collection<NameServer.Named> known) {
-        ObjectNode out = JSON.createObjectNode().put("az", s.ownZone()).put("balancers", s.softswitches())
-                .put("rank", s.rank()).put("discovery", "automatic");
+    private static ObjectNode encodeSettings(Settings settings, Collection<NameServer.Named> known) {
+        ObjectNode out = JSON.createObjectNode().put("az", settings.ownZone()).put("balancers", settings.softswitches())
+                .put("rank", settings.rank()).put("discovery", "automatic");
         ArrayNode zones = out.putArray("zones");
         known.stream().map(NameServer.Named::zone).distinct().sorted().forEach(zones::add);
         out.putArray("kinds").add("std");
-        ObjectNode family = out.putObject("family-info").put("layout", "network").put("this-node", s.ownPlace())
-                .put("release", s.release());
+        ObjectNode family = out.putObject("family-info").put("layout", "network")
+                .put("this-node", settings.ownPlace()).put("release", settings.release());
         ArrayNode widths = family.putArray("class-width");
         ArrayNode holding = family.putArray("holding");
         ArrayNode services = out.putArray("services");
-        for (CallClass one : s.classes()) {
-            widths.add(one.width());
-            holding.add(one.holding());
-            services.addObject().put("name", one.name()).put("aim", one.aim()).put("deadline", one.deadline())
-                    .put("effect", one.effect().name().toLowerCase(Locale.ROOT))
-                    .put("group", one.group().name().toLowerCase(Locale.ROOT)).put("value", one.worth())
-                    .put("late-worth", one.lateWorth());
+        for (CallClass callClass : settings.classes()) {
+            widths.add(callClass.width());
+            holding.add(callClass.holding());
+            services.addObject().put("name", callClass.name()).put("aim", callClass.aim())
+                    .put("deadline", callClass.deadline())
+                    .put("effect", callClass.effect().name().toLowerCase(Locale.ROOT))
+                    .put("group", callClass.group().name().toLowerCase(Locale.ROOT))
+                    .put("value", callClass.worth()).put("late-worth", callClass.lateWorth());
         }
-        out.putObject("limits").put("max-attempts", s.maxAttempts()).put("may-cancel", s.cancel())
-                .put("connect-timeout", CONNECT_TIMEOUT).put("retry-after", s.retryAfter())
-                .put("max-retry-after", s.maxRetryAfter());
-        out.putObject("obligations").put("stop-sending-within", s.obligations().drainGrace())
-                .put("cold", s.obligations().cold()).put("cold-share", s.obligations().coldShare())
-                .put("fall", s.obligations().fall()).put("fall-multiple", s.obligations().fallMultiple())
-                .put("grace-to-answer", s.obligations().answerGrace());
+        out.putObject("limits").put("max-attempts", settings.maxAttempts()).put("may-cancel", settings.cancel())
+                .put("connect-timeout", CONNECT_TIMEOUT_MICROS).put("retry-after", settings.retryAfter())
+                .put("max-retry-after", settings.maxRetryAfter());
+        out.putObject("obligations").put("stop-sending-within", settings.obligations().drainGrace())
+                .put("cold", settings.obligations().cold()).put("cold-share", settings.obligations().coldShare())
+                .put("fall", settings.obligations().fall()).put("fall-multiple", settings.obligations().fallMultiple())
+                .put("grace-to-answer", settings.obligations().answerGrace());
         out.putObject("telemetry").put("via", "piggyback").putArray("fields").add("idle").add("circuits")
                 .add("backlog").add("max_rate");
         return out;
     }
 
-    /** The class path of this program. */
+    /** Returns the class path of this program. */
     public static List<Path> ownBuild() {
         return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator)).map(Path::of).toList();
     }
 
-    /** Starts it. */
+    /** Starts the process; its output is appended to the log. */
     public void start() throws IOException {
-        Stream<Path> build = launch.build().isEmpty() ? ownBuild().stream() : launch.build().stream();
-        String path = build.map(part -> part.toAbsolutePath().toString())
+        Stream<Path> parts = launch.classPath().isEmpty() ? ownBuild().stream() : launch.classPath().stream();
+        String classPath = parts.map(part -> part.toAbsolutePath().toString())
                 .collect(Collectors.joining(File.pathSeparator));
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.add("-Xmx" + launch.heapMb() + "m");
         command.addAll(launch.jvmArguments());
-        command.addAll(List.of("-cp", path, "wingspread.Main", "serve"));
+        command.addAll(List.of("-cp", classPath, "wingspread.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command).directory(folder.toFile());
         builder.environment().put("LB_CONFIG", folder.resolve("config.json").toString());
         builder.environment().remove("LB_NAME");
@@ -132,41 +142,44 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile())).start();
     }
 
-    /** Where its output goes; it is appended to at each start. */
+    /** Returns the file of its output; each start appends to it. */
     public Path log() {
         return folder.resolve("softswitch.log");
     }
 
-    /** Whether it runs. */
+    /** Whether the process is running. */
     public boolean alive() {
         return process != null && process.isAlive();
     }
 
-    /** The process that was started last; null before the first start. */
+    /** Returns the process that was started last; null before the first start. */
     public Process process() {
         return process;
     }
 
-    /** Ends it without a word to anybody. */
+    /** Terminates the process with SIGKILL, so that it cannot notify anybody. */
     public void kill() {
         process.destroyForcibly();
     }
 
-    /** Asks it to end in good order, all softswitches at once; {@link #awaitEnd} waits. */
+    /**
+     * Requests a graceful shutdown with SIGTERM. It does not wait, so that all softswitches can shut down at the same
+     * time; {@link #awaitTermination} does.
+     */
     public void end() {
         if (process != null) {
             process.destroy();
         }
     }
 
-    /** Waits for its end, and forces it after some seconds. */
-    public void awaitEnd() throws InterruptedException {
-        if (process != null && !process.waitFor(LONGEST_END, TimeUnit.SECONDS)) {
+    /** Waits until the process has ended, and terminates it with SIGKILL when the timeout has passed. */
+    public void awaitTermination() throws InterruptedException {
+        if (process != null && !process.waitFor(TERMINATION_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly().waitFor();
         }
     }
 
-    /** The lines of its log. */
+    /** Returns the lines of its log; empty before the first start. */
     public List<String> lines() throws IOException {
         return Files.exists(log()) ? Files.readAllLines(log()) : List.of();
     }
--- a/src/main/java/wingspread/testbed/Testbed.java
+++ b/src/main/java/wingspread/testbed/Testbed.java
@@ -10,14 +10,15 @@
 import wingspread.testbed.SocketSoftswitches.Fault;
 
 /**
- * One day of a scenario with real softswitch processes, each of some 50 MB and with a connection to every exchange,
- * which the machine must carry. The laboratory's model plays the exchanges, circuits, callers and troubles and checks
- * the rules; its time is the wall's, and what it and the softswitches say to each other goes over sockets. So the same
- * file can be played in both and compared.
+ * Runs one day of a scenario with real softswitch processes. Each process takes about 50 MB of memory and has a
+ * connection to every exchange, so the machine limits the size of the fleet. The simulator's model plays the exchanges,
+ * circuits, callers and faults and checks the rules; it runs in wall-clock time and exchanges messages with the
+ * softswitches over sockets. The same scenario file can therefore be run in the simulator and here, and the results
+ * compared.
  */
 public final class Testbed {
-    /** What the sockets, the poll and the machine's own scheduling may add to a time that a rule is about. */
-    private static final long SLACK = 30_000;
+    /** Added to the rules' time limits to allow for the delays of sockets, polling and the machine's scheduler. */
+    private static final long TOLERANCE_MICROS = 30_000;
     private static final String TICK = "tick = \"1ms\"";
 
     private final Scenario scenario;
@@ -27,15 +28,23 @@
     private final int connections;
     private final List<Fault> faults;
 
-    /** What came of it; {@code counters} is one line for each softswitch that ended in good order. */
+    /**
+     * Result of a run.
+     *
+     * @param reconnects number of connections of callers that were opened again after they ended
+     * @param counters one line for each softswitch process that shut down gracefully
+     */
     public record Result(Model.Run run, long reconnects, List<String> counters) { }
 
     /**
-     * A run that has not begun.
+     * Prepares a run without starting it.
      *
-     * @param storm the text of the softswitches' {@code deploy/storm.toml}; null for none
-     * @param connections of the callers of each softswitch
-     * @throws HostException where a place that is to be struck does not exist
+     * @param seed seed of the random numbers of the day
+     * @param folder directory for the configurations and logs of the softswitches
+     * @param storm text of the softswitches' {@code deploy/storm.toml}; null for no such file
+     * @param connections number of connections that the callers of each softswitch share
+     * @param faults faults to inject into the softswitches
+     * @throws HostException if a fault names a place that does not exist
      */
     public Testbed(Scenario scenario, long seed, Path folder, String storm, int connections, List<Fault> faults) {
         this.scenario = scenario.with(TICK);
@@ -46,18 +55,21 @@
         this.faults = faults;
         int places = this.scenario.day(new Streams(seed, 0)).fleet().exchanges();
         if (faults.stream().anyMatch(fault -> fault.place() < 0 || fault.place() >= places)) {
-            throw new HostException("--fault: the places run from 0 to " + (places - 1));
+            throw new HostException("--fault: the place must be between 0 and " + (places - 1));
         }
     }
 
-    /** Starts everything, plays the day and ends everything; takes as long as the day and some seconds more. */
+    /**
+     * Starts the softswitches, plays the day and shuts the softswitches down. Takes a few seconds longer than the day.
+     */
     public Result play() {
         Streams streams = new Streams(seed, 0);
         Day day = scenario.day(streams);
         SocketSoftswitches softswitches = new SocketSoftswitches(folder, storm, connections, faults);
         Model.Run run;
         try {
-            run = new Model(day, streams, streams, softswitches, call -> { }, SLACK).play(softswitches.pacing());
+            run = new Model(day, streams, streams, softswitches, call -> { }, TOLERANCE_MICROS)
+                    .play(softswitches.pacing());
         } finally {
             softswitches.close();
         }
--- a/src/test/java/wingspread/testbed/NameServerTest.java
+++ b/src/test/java/wingspread/testbed/NameServerTest.java
@@ -14,7 +14,7 @@
 
 class NameServerTest {
     @Test
-    void theProgramsOwnDirectoryReadsTheAnswer() throws BadInput {
+    void answerIsParsedByDnsMessage() throws BadInput {
         byte[] answer = NameServer.answer(DnsMessage.query(77, "_back._tcp.pool.lan", 33), 70_000, List.of(
                 new Named("x1", "z0", 4, 5_000, Readiness.READY, 0),
                 new Named("x2", "z1", 5, 5_001, Readiness.DRAINING, 1_700_000_000_123L)), 8_000);
@@ -30,17 +30,18 @@
     }
 
     @Test
-    void aLongListIsCutAfterAWholeExchangeAndWholeWhereThereIsRoom() throws BadInput {
+    void truncatesLongListAfterLastExchangeThatFits() throws BadInput {
         List<Named> list = IntStream.range(0, 400)
                 .mapToObj(i -> new Named("x" + i, "z0", i, 5_000 + i, Readiness.READY, 0)).toList();
         byte[] question = DnsMessage.query(77, "_back._tcp.pool.lan", 33);
-        byte[] part = NameServer.answer(question, 3, list, 8_000);
-        assertTrue(part.length <= 8_000 && part.length > 7_500, part.length + " bytes");
-        DnsMessage cut = DnsMessage.parse(part);
-        assertTrue(cut.truncated());
-        assertEquals(1, cut.records().size() % 3);
-        DnsMessage whole = DnsMessage.parse(NameServer.answer(question, 3, list, 65_535));
-        assertFalse(whole.truncated());
-        assertEquals(1_201, whole.records().size());
+        byte[] truncatedAnswer = NameServer.answer(question, 3, list, 8_000);
+        assertTrue(truncatedAnswer.length <= 8_000 && truncatedAnswer.length > 7_500,
+                truncatedAnswer.length + " bytes");
+        DnsMessage truncated = DnsMessage.parse(truncatedAnswer);
+        assertTrue(truncated.truncated());
+        assertEquals(1, truncated.records().size() % 3);
+        DnsMessage complete = DnsMessage.parse(NameServer.answer(question, 3, list, 65_535));
+        assertFalse(complete.truncated());
+        assertEquals(1_201, complete.records().size());
     }
 }
