--- a/src/main/java/wingspread/testbed/Place.java
+++ b/src/main/java/wingspread/testbed/Place.java
@@ -47,7 +47,8 @@
      * @param connections number of connections that its callers share
      * @throws IOException if no port is free
      */
-    Place(int place, Loop loop, WallClockPacing clock, SoftswitchProcess process, int connections) throws IOException {
+    Place(int place, Loop loop, WallClockPacing clock, SoftswitchProcess process, int connections)
+            throws IOException {
         this.place = place;
         this.loop = loop;
         this.clock = clock;
@@ -162,8 +163,8 @@
             side = new ExchangeSide(loop, entry.address(), clock, effects::add);
             exchanges.put(entry.address(), side);
         }
-        NameServer.Named listing = new NameServer.Named(uid, "z" + entry.zone(), entry.place(), side.port(),
-                entry.readiness(), clock.unixMillis(entry.upSince()));
+        NameServer.Named listing = new NameServer.Named(uid, "z" + entry.zone(), entry.place(),
+                side.port(), entry.readiness(), clock.unixMillis(entry.upSince()));
         listed.put(entry.address(), listing);
         nameServer.put(listing);
     }
