--- a/src/main/java/wingspread/Main.java
+++ b/src/main/java/wingspread/Main.java
@@ -13,7 +13,7 @@
 import wingspread.toml.TomlException;
 import wingspread.wirehost.WireHost;
 
-/** The program's commands. */
+/** The entry point of the program. */
 public final class Main {
     private static final Logger LOG = LoggerFactory.getLogger(Main.class);
     private static final Path SIP_FILE = Path.of("deploy/sip.toml");
@@ -25,19 +25,19 @@
     /**
      * Runs one command.
      *
-     * @param args {@code serve} for a real softswitch, {@code wirehost} for the simulator's wire, else as {@code
-     *     --help} says
+     * @param args {@code serve} for a real softswitch, {@code wirehost} for the simulator's adapter, or another
+     *     command that {@code --help} lists
      */
     public static void main(String[] args) {
-        int code = run(args);
-        if (code >= 0) {
-            System.exit(code);
+        int exitCode = run(args);
+        if (exitCode >= 0) {
+            System.exit(exitCode);
         }
     }
 
-    /** The exit code, or -1 where the program goes on until it is told to end. */
+    /** Runs one command and returns its exit code, or -1 if it keeps running until a signal ends it. */
     static int run(String[] args) {
-        // Guards the start of serve: the command line's libraries are opened for the other commands alone.
+        // Shortens the start of serve: the command-line library is loaded only for the other commands.
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "wirehost":
--- a/src/main/java/wingspread/SipService.java
+++ b/src/main/java/wingspread/SipService.java
@@ -18,9 +18,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wingspread.acme.AcmeAuthority;
-import wingspread.acme.CertificateKeeper;
+import wingspread.acme.CertificateManager;
 import wingspread.acme.CertificateStore;
-import wingspread.acme.Issued;
+import wingspread.acme.IssuedCertificate;
 import wingspread.config.SipConfig;
 import wingspread.control.CallControl.CallClass;
 import wingspread.core.Event;
@@ -31,16 +31,25 @@
 import wingspread.sip.Timers;
 import wingspread.storm.ReconnectFigures;
 
-/** The SIP front with its timers, sockets and certificate, where the operators have turned it on. */
+/** The optional SIP front end with its timers, sockets and TLS certificate. */
 final class SipService {
     private static final Logger LOG = LoggerFactory.getLogger(SipService.class);
 
     private final Loop loop;
     private final SipConfig config;
     private final SipListener listener;
-    /** Secures new connections; those that are open keep what they began with. Confined to the loop. */
-    private SslContext security;
+    /**
+     * The TLS context of new connections; null before the first certificate. Open connections keep the context of
+     * their handshake. Accessed only on the event loop.
+     */
+    private SslContext sslContext;
 
+    /**
+     * Creates the service without opening a socket.
+     *
+     * @param seed the seed of the call ids and tags
+     * @param planner receives the events of calls
+     */
     SipService(Loop loop, SipConfig config, List<CallClass> classes, long seed, ReconnectFigures reconnects,
             Consumer<Event> planner, Metrics metrics) {
         this.loop = loop;
@@ -51,64 +60,65 @@
         loop.serve(timers);
     }
 
-    /** Starts to listen; for TLS once there is a certificate. */
+    /** Starts listening; for TLS, as soon as a certificate is available. */
     void listen() {
         if (config.udp() != null) {
-            report(config.udp(), listener.listenUdp(config.udp()));
+            logBindResult(config.udp(), listener.listenUdp(config.udp()));
         }
         if (config.tcp() != null) {
-            report(config.tcp(), listener.listenTcp(config.tcp(), null));
+            logBindResult(config.tcp(), listener.listenTcp(config.tcp(), null));
         }
         if (config.tls() != null) {
-            keepCertificate();
+            startCertificateRenewal();
         }
     }
 
-    private void keepCertificate() {
+    private void startCertificateRenewal() {
         CertificateStore store = new CertificateStore(config.acme().store());
         InstantSource clock = InstantSource.system();
-        CertificateKeeper keeper = new CertificateKeeper(new AcmeAuthority(config.acme(), store, clock,
+        CertificateManager manager = new CertificateManager(new AcmeAuthority(config.acme(), store, clock,
                 time -> Thread.sleep(Math.max(1, Duration.between(clock.instant(), time).toMillis()))),
-                store, clock, issued -> loop.execute(() -> secure(issued)));
-        ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread made = new Thread(task, "certificates");
-            made.setDaemon(true);
-            return made;
+                store, clock, certificate -> loop.execute(() -> useCertificate(certificate)));
+        ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
+            Thread thread = new Thread(task, "certificates");
+            thread.setDaemon(true);
+            return thread;
         });
-        thread.execute(() -> tick(keeper, thread));
+        executor.execute(() -> renewWhenDue(manager, executor));
     }
 
-    private static void tick(CertificateKeeper keeper, ScheduledExecutorService thread) {
-        long wait = Math.max(1, Duration.between(Instant.now(), keeper.tick()).toMillis());
-        thread.schedule(() -> tick(keeper, thread), wait, TimeUnit.MILLISECONDS);
+    private static void renewWhenDue(CertificateManager manager, ScheduledExecutorService executor) {
+        long delayMillis = Math.max(1, Duration.between(Instant.now(), manager.renewIfDue()).toMillis());
+        executor.schedule(() -> renewWhenDue(manager, executor), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Puts a certificate to use for connections to come. */
-    void secure(Issued issued) {
+    /** Uses a certificate for new connections. With the first one, starts listening for TLS. */
+    void useCertificate(IssuedCertificate certificate) {
         try {
-            SslContext fresh = SslContextBuilder.forServer(issued.key(),
-                    issued.chain().toArray(new X509Certificate[0])).build();
-            boolean first = security == null;
-            security = fresh;
+            SslContext newContext = SslContextBuilder.forServer(certificate.key(),
+                    certificate.chain().toArray(new X509Certificate[0])).build();
+            boolean first = sslContext == null;
+            sslContext = newContext;
             if (first) {
-                report(config.tls(), listener.listenTcp(config.tls(),
-                        () -> security.newHandler(ByteBufAllocator.DEFAULT)));
+                logBindResult(config.tls(), listener.listenTcp(config.tls(),
+                        () -> sslContext.newHandler(ByteBufAllocator.DEFAULT)));
             }
         } catch (SSLException e) {
-            LOG.error("{} cannot be used: {}", issued, e.getMessage());
+            LOG.error("cannot use {}: {}", certificate, e.getMessage());
         }
     }
 
-    private static void report(InetSocketAddress address, ChannelFuture bound) {
-        bound.addListener((ChannelFuture f) -> {
-            if (f.isSuccess()) {
-                LOG.info("SIP is taken at {}", f.channel().localAddress());
+    private static void logBindResult(InetSocketAddress address, ChannelFuture bound) {
+        bound.addListener((ChannelFuture future) -> {
+            if (future.isSuccess()) {
+                LOG.info("SIP is listening on {}", future.channel().localAddress());
             } else {
-                LOG.error("SIP cannot be taken at {}: {}", address, f.cause().getMessage());
+                LOG.error("SIP cannot listen on {}: {}", address, future.cause().getMessage());
             }
         });
     }
 
+    /** Closes the sockets and connections. */
     void close() {
         listener.close();
     }
--- a/src/main/java/wingspread/Softswitch.java
+++ b/src/main/java/wingspread/Softswitch.java
@@ -33,17 +33,18 @@
 import wingspread.record.Recorder;
 import wingspread.storm.ReconnectFigures;
 
-/** One real softswitch: a planner, the forwarders round it, its start and its end. */
+/** A real softswitch: creates the planner and the forwarders around it, starts them and shuts them down. */
 final class Softswitch {
     private static final Logger LOG = LoggerFactory.getLogger(Softswitch.class);
-    private static final int MOST_CALLS = 4_096;
-    /** After the start, exchanges that say nothing are waited for so long at the most. */
-    private static final long READY_AT_LATEST = 2_000_000;
-    /** After SIGTERM: what comes next is looked for so often, and what is written last goes out in so long. */
-    private static final long LOOK_EVERY = 20_000;
-    private static final long LAST_WRITES = 50_000;
-
-    /** Prints the counters; the JVM leaves it free, and whoever does not hear it ignores it. */
+    private static final int MAX_CALLS = 4_096;
+    /** The maximum time after the start for which readiness waits for unresponsive exchanges. */
+    private static final long READY_TIMEOUT_MICROS = 2_000_000;
+    /** The interval between two checks of the next shutdown step. */
+    private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 20_000;
+    /** The time before the exit in which the last messages are sent. */
+    private static final long FLUSH_TIME_MICROS = 50_000;
+
+    /** Logs the counters. The JVM does not use this signal, and a process without a handler for it ignores it. */
     private static final String COUNTERS_SIGNAL = "URG";
 
     private final NodeConfig config;
@@ -56,12 +57,19 @@
     private final JsonlFront front;
     private final Optional<SipService> sip;
     private final long startedAt;
-    /** Null where nothing is recorded. */
+    /** Null if recording is disabled. */
     private final Recorder recorder;
     private boolean listening;
-    private boolean ending;
-
-    /** A softswitch of the configuration that these variables name. */
+    private boolean shuttingDown;
+
+    /**
+     * Creates a softswitch that is not started.
+     *
+     * @param environment the environment variables, which name the configuration
+     * @param sipConfig the configuration of the SIP front end; null if disabled
+     * @param record the configuration of the recording of calls; null if disabled
+     * @param storm the configuration of storm control; null if disabled
+     */
     Softswitch(Map<String, String> environment, SipConfig sipConfig, RecordConfig record, StormConfig storm) {
         this.environment = environment;
         this.config = NodeConfig.read(environment);
@@ -69,12 +77,14 @@
         SettingsParser.Parsed settings = config.settings();
         ReconnectFigures reconnects = storm == null ? ReconnectFigures.OFF : storm.reconnects();
         Descriptors descriptors = new Descriptors(config.sockets());
-        this.links = new Links(loop, settings.connectTimeout(), settings.settings().ownPlace(),
+        this.links = new Links(loop, settings.connectTimeoutMicros(), settings.settings().ownPlace(),
                 () -> descriptors.forExchanges(frontConnections()), reconnects,
                 new SplittableRandom(config.seed() + 1), this::post, metrics);
-        this.planner = new Planner(loop::now, settings.settings(), Figures.USUAL, config.seed(), MOST_CALLS, links,
-                this::strangerOver, metrics, storm == null ? null : storm.storm());
-        this.directory = new Directory(loop, settings.zones(), settings.kinds(), config.seed(), this::told);
+        this.planner = new Planner(loop::now, settings.settings(),
+                Figures.USUAL, config.seed(), MAX_CALLS, links,
+                this::unknownCallEnded, metrics, storm == null ? null : storm.storm());
+        this.directory = new Directory(loop, settings.zones(), settings.kinds(), config.seed(),
+                this::directoryUpdated);
         this.front = new JsonlFront(loop, settings.settings().classes(),
                 () -> descriptors.forCallers(links.open()), this::post, this::ready, reconnects, metrics);
         this.sip = Optional.ofNullable(sipConfig).map(c -> new SipService(loop, c, settings.settings().classes(),
@@ -88,11 +98,11 @@
         return settings.classes().stream().map(CallClass::name).toList();
     }
 
-    /** Starts to serve; returns at once. */
+    /** Starts serving calls on the event loop and returns immediately. */
     void start() throws ReflectiveOperationException {
-        // Before the listener stands: SIGTERM must find what ends in good order as soon as something may be taken.
-        Signals.on("TERM", () -> loop.execute(this::end));
-        Signals.on("INT", () -> loop.execute(this::end));
+        // Before the listener is opened, so that a SIGTERM leads to a graceful shutdown as soon as calls may arrive.
+        Signals.on("TERM", () -> loop.execute(this::shutDown));
+        Signals.on("INT", () -> loop.execute(this::shutDown));
         Signals.on("HUP", this::reload);
         Signals.on(COUNTERS_SIGNAL, () -> loop.execute(() -> LOG.info(metrics.toString())));
         loop.execute(() -> {
@@ -102,17 +112,17 @@
             if (config.names() != null) {
                 directory.follow(config.names());
             }
-            front.listen(config.listen()).addListener((ChannelFuture f) -> {
-                if (!f.isSuccess()) {
-                    LOG.error("cannot listen at {}: {}", config.listen(), f.cause().getMessage());
+            front.listen(config.listen()).addListener((ChannelFuture future) -> {
+                if (!future.isSuccess()) {
+                    LOG.error("cannot listen on {}: {}", config.listen(), future.cause().getMessage());
                     System.exit(1);
                 }
-                LOG.info("{} listens at {}", config.name(), config.listen());
+                LOG.info("{} is listening on {}", config.name(), config.listen());
             });
         });
     }
 
-    /** Reads the configuration anew; of what it holds, the directory's address may change while calls go on. */
+    /** Reloads the configuration. Only the address of the directory server is applied to the running process. */
     private void reload() {
         try {
             InetSocketAddress names = NodeConfig.read(environment).names();
@@ -120,7 +130,7 @@
                 loop.execute(() -> directory.follow(names));
             }
         } catch (ConfigException e) {
-            // Guards against a file that is half written or wrong: what was read before stays in force.
+            // The file may be partially written or invalid; the configuration read before remains in effect.
             LOG.error("the old settings stay: {}", e.getMessage());
         }
     }
@@ -136,74 +146,74 @@
         return front.connections();
     }
 
-    private void strangerOver(String call, int cause) {
+    private void unknownCallEnded(String call, int cause) {
         front.over(call, cause);
     }
 
-    private void told(ListKind kind, List<Listing> listings) {
-        planner.post(new Event.Listed(kind, listings.stream().map(Listing::exchange).toList()));
-        links.update(listings);
+    private void directoryUpdated(ListKind kind, List<Listing> entries) {
+        planner.post(new Event.Listed(kind, entries.stream().map(Listing::exchange).toList()));
+        links.update(entries);
         loop.wantTurn();
     }
 
     private boolean ready() {
-        return !ending && (links.settled() || loop.now() - startedAt > READY_AT_LATEST);
+        return !shuttingDown && (links.settled() || loop.now() - startedAt > READY_TIMEOUT_MICROS);
     }
 
-    /** Finishes what was taken, hands over what stands, and ends. */
-    private void end() {
-        if (ending) {
+    /** Shuts down gracefully: answers pending calls, hands over established calls, and exits. */
+    private void shutDown() {
+        if (shuttingDown) {
             return;
         }
-        ending = true;
+        shuttingDown = true;
         if (!listening) {
-            LOG.info("ending: nothing was taken yet");
+            LOG.info("shutting down before any call was accepted");
             System.exit(0);
         }
-        PlannedEnd plan = new PlannedEnd(loop.now(),
+        PlannedEnd shutdown = new PlannedEnd(loop.now(),
                 config.settings().settings().classes().stream().mapToLong(CallClass::deadline).max().orElse(0));
-        LOG.info("ending: {} calls are unanswered", planner.unanswered());
-        planner.answerBy(plan.lastAnswer());
+        LOG.info("shutting down: {} calls are unanswered", planner.unanswered());
+        planner.answerBy(shutdown.lastAnswer());
         loop.wantTurn();
-        lookAgain(plan);
+        scheduleNextStep(shutdown);
     }
 
-    private void lookAgain(PlannedEnd plan) {
-        loop.at(loop.now() + LOOK_EVERY, () -> {
-            switch (plan.next(loop.now(), planner.unanswered(), planner.standing(front.connections() > 0),
-                    front.connections())) {
-                case LEAVE -> leave();
+    private void scheduleNextStep(PlannedEnd shutdown) {
+        loop.at(loop.now() + SHUTDOWN_CHECK_INTERVAL_MICROS, () -> {
+            switch (shutdown.next(loop.now(), planner.unanswered(),
+                    planner.standing(front.connections() > 0), front.connections())) {
+                case LEAVE -> exit();
                 case HAND_OVER -> {
                     planner.refuseNew();
                     planner.handOver();
                     loop.flush();
                     links.close();
-                    lookAgain(plan);
+                    scheduleNextStep(shutdown);
                 }
                 case STOP_LISTENING -> {
                     front.stopListening();
-                    lookAgain(plan);
+                    scheduleNextStep(shutdown);
                 }
                 case CLOSE_UNUSED -> {
                     planner.refuseNew();
                     front.closeUnused();
-                    lookAgain(plan);
+                    scheduleNextStep(shutdown);
                 }
                 case CLOSE_IDLE -> {
                     planner.refuseNew();
                     front.closeIdle();
-                    lookAgain(plan);
+                    scheduleNextStep(shutdown);
                 }
-                default -> lookAgain(plan);
+                default -> scheduleNextStep(shutdown);
             }
         });
     }
 
-    /** Exits a moment later: what was written last has gone out by then. */
-    private void leave() {
-        // Over connections nothing can be on its way any longer where none is left.
-        long lastWrites = front.connections() == 0 && sip.isEmpty() ? 0 : LAST_WRITES;
-        loop.at(loop.now() + lastWrites, () -> {
+    /** Exits the process after a short delay, in which the last messages are sent. */
+    private void exit() {
+        // Without caller connections and without a SIP front end, no message can be in transit.
+        long flushTime = front.connections() == 0 && sip.isEmpty() ? 0 : FLUSH_TIME_MICROS;
+        loop.at(loop.now() + flushTime, () -> {
             front.close();
             sip.ifPresent(SipService::close);
             if (recorder != null) {
--- a/src/main/java/wingspread/acme/AcmeAuthority.java
+++ b/src/main/java/wingspread/acme/AcmeAuthority.java
@@ -21,14 +21,16 @@
 import org.shredzone.acme4j.exception.AcmeProtocolException;
 import wingspread.config.SipConfig;
 
-/** An authority that speaks ACME (RFC 8555), with the http-01 challenge. */
-public final class AcmeAuthority implements Authority {
-    private static final Duration POLL_EVERY = Duration.ofSeconds(2);
-    private static final Duration LONGEST_ORDER = Duration.ofMinutes(5);
+/** A certificate authority that is accessed by ACME (RFC 8555), with the http-01 challenge. */
+public final class AcmeAuthority implements CertificateAuthority {
+    /** The interval between two polls of a resource if the authority does not state one. */
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration ORDER_TIMEOUT = Duration.ofMinutes(5);
 
-    /** Waits until a time; a test's returns at once. */
+    /** Waits between two polls; replaceable in tests, which do not wait. */
     @FunctionalInterface
     public interface Pause {
+        /** Waits until a time. */
         void until(Instant time) throws InterruptedException;
     }
 
@@ -37,6 +39,11 @@
     private final InstantSource clock;
     private final Pause pause;
 
+    /**
+     * Creates a client of an authority.
+     *
+     * @param store holds the account key, and receives the certificates
+     */
     public AcmeAuthority(SipConfig.Acme config, CertificateStore store, InstantSource clock, Pause pause) {
         this.config = config;
         this.store = store;
@@ -45,9 +52,9 @@
     }
 
     @Override
-    public Issued obtain() throws IOException {
+    public IssuedCertificate obtain() throws IOException {
         try {
-            Instant deadline = clock.instant().plus(LONGEST_ORDER);
+            Instant deadline = clock.instant().plus(ORDER_TIMEOUT);
             AccountBuilder account = new AccountBuilder().agreeToTermsOfService().useKeyPair(store.accountKey());
             if (!config.contact().isEmpty()) {
                 account.addEmail(config.contact());
@@ -60,15 +67,16 @@
             KeyPair key = CertificateStore.newKey();
             order.execute(key);
             await(order, deadline, "the order");
-            Issued issued = new Issued(key.getPrivate(), List.copyOf(order.getCertificate().getCertificateChain()));
-            store.save(key, issued.chain());
-            return issued;
+            IssuedCertificate certificate = new IssuedCertificate(key.getPrivate(),
+                    List.copyOf(order.getCertificate().getCertificateChain()));
+            store.save(key, certificate.chain());
+            return certificate;
         } catch (AcmeException | AcmeProtocolException | AcmeLazyLoadingException e) {
-            // The latter two are unchecked: what an authority sent was no ACME, or went away between two steps.
+            // The latter two are unchecked: the response was not valid ACME, or a resource vanished between two steps.
             throw new IOException(e.toString(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while a certificate was ordered", e);
+            throw new IOException("interrupted while ordering a certificate", e);
         }
     }
 
@@ -87,20 +95,20 @@
         }
     }
 
-    private <R extends AcmeJsonResource & PollableResource> void await(R resource, Instant deadline, String what)
-            throws IOException, AcmeException, InterruptedException {
+    private <R extends AcmeJsonResource & PollableResource> void await(R resource, Instant deadline,
+            String description) throws IOException, AcmeException, InterruptedException {
         while (true) {
-            Instant next = resource.fetch().orElse(clock.instant().plus(POLL_EVERY));
+            Instant nextPoll = resource.fetch().orElse(clock.instant().plus(POLL_INTERVAL));
             if (resource.getStatus() == Status.VALID) {
                 return;
             }
             if (resource.getStatus() == Status.INVALID) {
-                throw new IOException("the authority refused " + what);
+                throw new IOException("the authority rejected " + description);
             }
-            if (next.isAfter(deadline)) {
-                throw new IOException("the authority did not decide on " + what + " in time");
+            if (nextPoll.isAfter(deadline)) {
+                throw new IOException("timed out waiting for the authority to validate " + description);
             }
-            pause.until(next);
+            pause.until(nextPoll);
         }
     }
 }
--- a/src/main/java/wingspread/acme/ChallengeServer.java
+++ b/src/main/java/wingspread/acme/ChallengeServer.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 
-/** Answers one http-01 challenge (RFC 8555, 8.3) for as long as it is open. */
+/** An HTTP server that answers one http-01 challenge (RFC 8555, section 8.3) until it is closed. */
 final class ChallengeServer implements Closeable {
     private static final String PATH = "/.well-known/acme-challenge/";
 
@@ -16,17 +16,16 @@
         byte[] body = authorization.getBytes(StandardCharsets.US_ASCII);
         server = HttpServer.create(address, 0);
         server.createContext("/", exchange -> {
-            boolean asked = exchange.getRequestURI().getPath().equals(PATH + token);
+            boolean matches = exchange.getRequestURI().getPath().equals(PATH + token);
             exchange.getResponseHeaders().set("Content-Type", "application/octet-stream");
-            exchange.sendResponseHeaders(asked ? 200 : 404, asked ? body.length : -1);
-            if (asked) {
+            exchange.sendResponseHeaders(matches ? 200 : 404, matches ? body.length : -1);
+            if (matches) {
                 exchange.getResponseBody().write(body);
             }
             exchange.close();
         });
     }
 
-    /** Starts to answer. */
     void start() {
         server.start();
     }
--- a/src/main/java/wingspread/config/ConfigException.java
+++ b/src/main/java/wingspread/config/ConfigException.java
@@ -1,6 +1,6 @@
 package wingspread.config;
 
-/** A setting that is missing or cannot be read; the message says which, in one line. */
+/** Thrown if a setting is missing or invalid; the message is one line that names the setting. */
 public final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wingspread/config/NodeConfig.java
+++ b/src/main/java/wingspread/config/NodeConfig.java
@@ -10,12 +10,27 @@
 import wingspread.json.Json;
 import wingspread.net.BadInput;
 
-/** What the platform tells a softswitch at its start. */
+/**
+ * The configuration that the platform passes to a softswitch at its start.
+ *
+ * @param name the name of the softswitch
+ * @param listen the address on which callers connect
+ * @param seed the seed of the random numbers
+ * @param sockets the maximum number of open file descriptors; 1024 if not set
+ * @param names the address of the directory server; null if there is none
+ * @param known the cached list of exchanges, used until the directory server has responded
+ * @param settings the settings of the site
+ */
 public record NodeConfig(
         String name, InetSocketAddress listen, long seed, int sockets, InetSocketAddress names, Map<?, ?> known,
         SettingsParser.Parsed settings) {
 
-    /** Reads the variables {@code LB_NAME}, {@code LB_LISTEN} and {@code LB_CONFIG}, and the file named. */
+    /**
+     * Reads the configuration from the environment variables {@code LB_NAME}, {@code LB_LISTEN} and {@code LB_CONFIG}
+     * and the JSON file that the last one names.
+     *
+     * @throws ConfigException if a value is missing or invalid
+     */
     public static NodeConfig read(Map<String, String> environment) {
         String file = environment.get("LB_CONFIG");
         if (file == null) {
@@ -25,7 +40,7 @@
             if (Json.parse(Files.readAllBytes(Path.of(file))) instanceof Map<?, ?> map) {
                 return from(map, environment);
             }
-            throw new ConfigException(file + " holds no JSON object");
+            throw new ConfigException(file + " does not contain a JSON object");
         } catch (IOException e) {
             throw new ConfigException(file + " cannot be read: " + e.getMessage());
         } catch (BadInput e) {
@@ -56,11 +71,16 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new ConfigException("the configuration's seed is unreadable: '" + text + "'");
+            throw new ConfigException("the configuration has an invalid seed: '" + text + "'");
         }
     }
 
-    /** An address and a port, as in {@code 10.0.0.4:3868}. */
+    /**
+     * Parses an address with a port, as in {@code 10.0.0.4:3868}.
+     *
+     * @param name the setting's name, for the error message
+     * @throws ConfigException if the text is not an address with a port
+     */
     public static InetSocketAddress address(String text, String name) {
         int colon = text.lastIndexOf(':');
         try {
@@ -69,12 +89,15 @@
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            throw new ConfigException("'" + name + "' is no address with a port: '" + text + "'");
+            throw new ConfigException("'" + name + "' is not an address with a port: '" + text + "'");
         }
-        throw new ConfigException("'" + name + "' is no address with a port: '" + text + "'");
+        throw new ConfigException("'" + name + "' is not an address with a port: '" + text + "'");
     }
 
-    /** Nested JSON as the simulator's paths with values. */
+    /**
+     * Converts nested JSON to the simulator's form of settings: dotted paths with their values. A list of objects gets
+     * the path {@code count} and one path per index; a list of plain values becomes one value, separated by commas.
+     */
     static void flatten(String path, Object value, Map<String, String> out) {
         if (value instanceof Map<?, ?> map) {
             map.forEach((name, inner) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, inner, out));
@@ -86,15 +109,15 @@
         } else if (value instanceof List<?> list) {
             StringBuilder joined = new StringBuilder();
             for (int i = 0; i < list.size(); i++) {
-                joined.append(i == 0 ? "" : ",").append(simple(list.get(i)));
+                joined.append(i == 0 ? "" : ",").append(scalarText(list.get(i)));
             }
             out.put(path, joined.toString());
         } else {
-            out.put(path, simple(value));
+            out.put(path, scalarText(value));
         }
     }
 
-    private static String simple(Object value) {
+    private static String scalarText(Object value) {
         return value == null ? "" : value.toString();
     }
 }
--- a/src/main/java/wingspread/config/SettingsParser.java
+++ b/src/main/java/wingspread/config/SettingsParser.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the settings of an instance: path=value pairs, one per line. Unknown paths are ignored. */
+/** Parses the settings of a softswitch, given as path=value pairs, one per line. Unknown paths are ignored. */
 public final class SettingsParser {
     private final Map<String, String> pairs;
 
@@ -23,31 +23,48 @@
     private static Map<String, String> pairs(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                pairs.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int equals = line.indexOf('=');
+            if (equals > 0) {
+                pairs.put(line.substring(0, equals).trim(), line.substring(equals + 1).trim());
             }
         }
         return pairs;
     }
 
-    /** The settings; the names of the report's fields in their order; the names of zones and machine kinds. */
+    /**
+     * The parsed settings.
+     *
+     * @param settings the settings of the call control
+     * @param reportFields the names of the fields of a load report, in their order
+     * @param zones the names of the zones
+     * @param kinds the names of the kinds of exchange
+     * @param connectTimeoutMicros the timeout of a connect to an exchange; 0 if not set
+     */
     public record Parsed(Settings settings, List<String> reportFields, List<String> zones, List<String> kinds,
-            long connectTimeout) { }
+            long connectTimeoutMicros) { }
 
+    /**
+     * Parses lines of path=value pairs.
+     *
+     * @throws ConfigException if a required setting is missing or a value is invalid
+     */
     public static Parsed parse(String text) {
         return parse(pairs(text));
     }
 
-    /** Reads settings that are already paths with their values. */
+    /**
+     * Parses settings given as a map of paths to values.
+     *
+     * @throws ConfigException if a required setting is missing or a value is invalid
+     */
     public static Parsed parse(Map<String, String> pairs) {
-        SettingsParser p = new SettingsParser(pairs);
-        return new Parsed(p.settings(), p.list("telemetry.fields"), p.list("zones"), p.list("kinds"),
-                p.time("limits.connect-timeout"));
+        SettingsParser parser = new SettingsParser(pairs);
+        return new Parsed(parser.settings(), parser.list("telemetry.fields"), parser.list("zones"),
+                parser.list("kinds"), parser.time("limits.connect-timeout"));
     }
 
     private Settings settings() {
-        Obligations rules = new Obligations(
+        Obligations obligations = new Obligations(
                 time("obligations.grace-to-answer"), requiredTime("obligations.stop-sending-within"),
                 time("obligations.ask-within"), number("obligations.cold-share"), time("obligations.cold"),
                 number("obligations.fall-multiple"), time("obligations.fall"));
@@ -58,43 +75,47 @@
                 flag("limits.peers"), flag("limits.may-cancel"), flag("limits.may-duplicate"),
                 flag("family-info.route-advice"), flag("limits.retry-after"), time("limits.max-retry-after"),
                 (int) requiredTime("limits.max-attempts"), requiredTime("family-info.release"),
-                time("family-info.resend"), rules);
+                time("family-info.resend"), obligations);
     }
 
     private List<CallClass> classes() {
-        int n = (int) requiredTime("services.count");
+        int count = (int) requiredTime("services.count");
         List<String> widths = list("family-info.class-width");
-        List<String> holding = list("family-info.holding");
-        List<CallClass> out = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            String at = "services." + i + ".";
-            out.add(new CallClass(
-                    pairs.getOrDefault(at + "name", Integer.toString(i)), requiredTime(at + "aim"),
-                    requiredTime(at + "deadline"), number(at + "value"), number(at + "late-worth"),
+        List<String> holdingTimes = list("family-info.holding");
+        List<CallClass> classes = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            String prefix = "services." + i + ".";
+            classes.add(new CallClass(
+                    pairs.getOrDefault(prefix + "name", Integer.toString(i)), requiredTime(prefix + "aim"),
+                    requiredTime(prefix + "deadline"), number(prefix + "value"), number(prefix + "late-worth"),
                     i < widths.size() ? parse(widths.get(i), "family-info.class-width") : 1,
-                    i < holding.size() ? (long) parse(holding.get(i), "family-info.holding") : 0,
-                    choice(at + "effect", Effect.class), group(at + "group"), time(at + "window"), pools(i)));
+                    i < holdingTimes.size() ? (long) parse(holdingTimes.get(i), "family-info.holding") : 0,
+                    choice(prefix + "effect", Effect.class), repeatGroup(prefix + "group"), time(prefix + "window"),
+                    pools(i)));
         }
-        return List.copyOf(out);
+        return List.copyOf(classes);
     }
 
-    /** The pools of a class: a flat list under the class's number, with or without a path of its own. */
+    /**
+     * Returns the pools of a call class: the values listed under the class's index, as one value separated by commas,
+     * as indexed paths, or both.
+     */
     private List<Integer> pools(int callClass) {
-        String at = "family-info.skilled-pools." + callClass;
-        List<String> values = new ArrayList<>(list(at));
-        int n = integer(at + ".count", 0);
-        for (int i = 0; i < n; i++) {
-            values.add(required(at + "." + i));
+        String path = "family-info.skilled-pools." + callClass;
+        List<String> values = new ArrayList<>(list(path));
+        int count = integer(path + ".count", 0);
+        for (int i = 0; i < count; i++) {
+            values.add(required(path + "." + i));
         }
-        List<Integer> out = new ArrayList<>();
+        List<Integer> pools = new ArrayList<>();
         for (String value : values) {
-            out.add((int) parse(value, at));
+            pools.add((int) parse(value, path));
         }
-        return List.copyOf(out);
+        return List.copyOf(pools);
     }
 
-    /** Without a statement only the same exchange knows a repeat. */
-    private RepeatGroup group(String key) {
+    /** Returns the exchanges that recognise a repeated set-up; by default only the same exchange does. */
+    private RepeatGroup repeatGroup(String key) {
         return pairs.containsKey(key) ? choice(key, RepeatGroup.class) : RepeatGroup.CELL;
     }
 
@@ -105,7 +126,7 @@
     private String required(String key) {
         String value = pairs.get(key);
         if (value == null) {
-            throw new ConfigException("settings lack '" + key + "'");
+            throw new ConfigException("missing setting '" + key + "'");
         }
         return value;
     }
@@ -117,7 +138,7 @@
                 return constant;
             }
         }
-        throw new ConfigException("setting '" + key + "' is unreadable: '" + value + "'");
+        throw new ConfigException("setting '" + key + "' has an invalid value: '" + value + "'");
     }
 
     private long requiredTime(String key) {
@@ -128,8 +149,8 @@
         return (long) number(key);
     }
 
-    private int integer(String key, int absent) {
-        return pairs.containsKey(key) ? (int) parse(pairs.get(key), key) : absent;
+    private int integer(String key, int defaultValue) {
+        return pairs.containsKey(key) ? (int) parse(pairs.get(key), key) : defaultValue;
     }
 
     private double number(String key) {
@@ -140,7 +161,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new ConfigException("setting '" + key + "' is unreadable: '" + value + "'");
+            throw new ConfigException("setting '" + key + "' is not a number: '" + value + "'");
         }
     }
 
--- a/src/main/java/wingspread/config/SipConfig.java
+++ b/src/main/java/wingspread/config/SipConfig.java
@@ -10,9 +10,14 @@
 import wingspread.toml.TomlFile;
 
 /**
- * What {@code deploy/sip.toml} says of the SIP front. An address that is null is not listened on.
+ * The configuration of the SIP front end in {@code deploy/sip.toml}.
  *
- * @param routes the place of the exchange that serves the numbers with a prefix
+ * @param udp the address to listen on for UDP; null if not used
+ * @param tcp the address to listen on for TCP; null if not used
+ * @param tls the address to listen on for TLS; null if not used
+ * @param callClass the name of the class of a call without a known class of its own; empty for the first class
+ * @param routes the index of the exchange that serves the numbers with a prefix, by prefix
+ * @param acme how the TLS certificate is obtained; null if it is not
  */
 public record SipConfig(
         InetSocketAddress udp, InetSocketAddress tcp, InetSocketAddress tls, String callClass,
@@ -20,13 +25,21 @@
 
     private static final String SCHEMA = "/wingspread/config/sip.schema.json";
 
-    /** Where the TLS certificate comes from; needed for {@code tls} alone. */
+    /**
+     * How the TLS certificate is obtained; required only for {@code tls}.
+     *
+     * @param directory the URL of the ACME server's directory
+     * @param domain the domain name of the certificate
+     * @param contact the e-mail address of the account; empty if there is none
+     * @param http the address on which http-01 challenges are answered
+     * @param store the directory that holds the keys and the certificate
+     */
     public record Acme(String directory, String domain, String contact, InetSocketAddress http, Path store) { }
 
     /**
-     * Reads the file; null where the front is off.
+     * Reads the file. Returns null if it does not exist or the front end is not enabled.
      *
-     * @throws ConfigException where it cannot be understood
+     * @throws ConfigException if the file is invalid
      */
     public static SipConfig read(Path file) {
         if (!Switch.mayBeOn(file)) {
@@ -46,7 +59,7 @@
         Acme acme = acme(tree.path("acme"));
         InetSocketAddress tls = address(tree, "tls");
         if (tls != null && acme == null) {
-            throw new ConfigException("'tls' needs a certificate: 'acme.directory' is empty");
+            throw new ConfigException("'tls' requires a certificate, but 'acme.directory' is empty");
         }
         return new SipConfig(address(tree, "udp"), address(tree, "tcp"), tls, tree.path("class").asText(), routes,
                 acme);
@@ -69,7 +82,7 @@
     private static String required(JsonNode tree, String key) {
         String value = tree.path(key).asText();
         if (value.isEmpty()) {
-            throw new ConfigException("the SIP front's file lacks 'acme." + key + "'");
+            throw new ConfigException("the SIP configuration lacks 'acme." + key + "'");
         }
         return value;
     }
--- a/src/main/java/wingspread/config/StormConfig.java
+++ b/src/main/java/wingspread/config/StormConfig.java
@@ -14,14 +14,20 @@
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
-/** What {@code deploy/storm.toml} says: the usual figures, but for those that it gives. */
+/**
+ * The configuration of storm control in {@code deploy/storm.toml}. Parameters that the file does not set have their
+ * default values.
+ *
+ * @param storm the parameters of the control of redials
+ * @param reconnects the parameters of the pacing of new connections
+ */
 public record StormConfig(StormFigures storm, ReconnectFigures reconnects) {
     private static final String SCHEMA = "/wingspread/config/storm.schema.json";
 
     /**
-     * Reads the file; null where it is off.
+     * Reads the file. Returns null if it does not exist or storm control is not enabled.
      *
-     * @throws TomlException where it cannot be taken
+     * @throws TomlException if the file is invalid
      */
     public static StormConfig read(Path file) {
         if (!Switch.mayBeOn(file)) {
@@ -32,10 +38,11 @@
     }
 
     /**
-     * The figures of a file or, where the text has an {@code =}, of lines of TOML with commas between; whether it says
-     * {@code enabled} does not matter. {@code usual} has the usual ones.
+     * Returns the configuration that a command-line argument specifies, whether or not it sets {@code enabled}.
      *
-     * @throws TomlException where they cannot be taken
+     * @param text {@code usual} for the default values, lines of TOML separated by commas if it contains an {@code =},
+     *     or else the path of a file
+     * @throws TomlException if the configuration is invalid
      */
     public static StormConfig named(String text) {
         if (text.equals("usual")) {
@@ -45,9 +52,10 @@
     }
 
     /**
-     * The text of a file that damps storms by the figures {@link #named} takes, checked, with {@code enabled} on.
+     * Returns the TOML text of a configuration in which {@code enabled} is true.
      *
-     * @throws TomlException where they cannot be taken
+     * @param text the configuration, as for {@link #named}
+     * @throws TomlException if the configuration is invalid
      */
     public static String turnedOn(String text) {
         named(text);
@@ -69,45 +77,54 @@
         }
     }
 
-    private static Detection detection(JsonNode t) {
-        Detection usual = StormFigures.USUAL.detection();
-        return new Detection(time(t, "window", usual.window()), time(t, "usual-window", usual.usualWindow()),
-                t.path("onset-ratio").asDouble(usual.onsetRatio()), t.path("end-ratio").asDouble(usual.endRatio()),
-                t.path("over-usual").asDouble(usual.overUsual()), t.path("most-usual").asDouble(usual.mostUsual()),
-                t.path("least-redials").asDouble(usual.leastRedials()), time(t, "end-after", usual.endAfter()));
+    private static Detection detection(JsonNode table) {
+        Detection defaults = StormFigures.USUAL.detection();
+        return new Detection(time(table, "window", defaults.window()),
+                time(table, "usual-window", defaults.usualWindow()),
+                table.path("onset-ratio").asDouble(defaults.onsetRatio()),
+                table.path("end-ratio").asDouble(defaults.endRatio()),
+                table.path("over-usual").asDouble(defaults.overUsual()),
+                table.path("most-usual").asDouble(defaults.mostUsual()),
+                table.path("least-redials").asDouble(defaults.leastRedials()),
+                time(table, "end-after", defaults.endAfter()));
     }
 
-    private static Damping damping(JsonNode t) {
-        Damping usual = StormFigures.USUAL.damping();
-        Method method = t.has("method") ? Method.valueOf(t.path("method").asText().toUpperCase(Locale.ROOT))
-                : usual.method();
-        return new Damping(method, t.path("budget-share").asDouble(usual.budgetShare()),
-                t.path("budget-floor").asDouble(usual.budgetFloor()),
-                t.path("budget-most").asDouble(usual.budgetMost()), time(t, "ramp", usual.ramp()),
-                t.path("ramp-share").asDouble(usual.rampShare()),
-                t.path("throttle-factor").asDouble(usual.throttleFactor()),
-                t.path("least-failing").asDouble(usual.leastFailing()));
+    private static Damping damping(JsonNode table) {
+        Damping defaults = StormFigures.USUAL.damping();
+        Method method = table.has("method") ? Method.valueOf(table.path("method").asText().toUpperCase(Locale.ROOT))
+                : defaults.method();
+        return new Damping(method, table.path("budget-share").asDouble(defaults.budgetShare()),
+                table.path("budget-floor").asDouble(defaults.budgetFloor()),
+                table.path("budget-most").asDouble(defaults.budgetMost()),
+                time(table, "ramp", defaults.ramp()),
+                table.path("ramp-share").asDouble(defaults.rampShare()),
+                table.path("throttle-factor").asDouble(defaults.throttleFactor()),
+                table.path("least-failing").asDouble(defaults.leastFailing()));
     }
 
-    private static Returns returns(JsonNode t) {
-        Returns usual = StormFigures.USUAL.returns();
-        return new Returns(time(t, "longest-wait", usual.longestWait()),
-                t.path("spread-refusals").asBoolean(usual.spreadRefusals()),
-                time(t, "redial-time", usual.redialTime()), t.path("most-tries").asInt(usual.mostTries()),
-                time(t, "early", usual.early()), t.path("most-numbers").asInt(usual.mostNumbers()),
-                t.path("most-keys").asInt(usual.mostKeys()));
+    private static Returns returns(JsonNode table) {
+        Returns defaults = StormFigures.USUAL.returns();
+        return new Returns(time(table, "longest-wait", defaults.longestWait()),
+                table.path("spread-refusals").asBoolean(defaults.spreadRefusals()),
+                time(table, "redial-time", defaults.redialTime()),
+                table.path("most-tries").asInt(defaults.mostTries()),
+                time(table, "early", defaults.early()),
+                table.path("most-numbers").asInt(defaults.mostNumbers()),
+                table.path("most-keys").asInt(defaults.mostKeys()));
     }
 
-    private static ReconnectFigures reconnects(JsonNode t) {
-        ReconnectFigures usual = ReconnectFigures.USUAL;
-        return new ReconnectFigures(t.path("share").asDouble(usual.share()), time(t, "burst", usual.burst()),
-                t.path("surge-factor").asDouble(usual.surgeFactor()),
-                t.path("least-surge").asDouble(usual.leastSurge()),
-                time(t, "first-backoff", usual.firstBackoff()), time(t, "longest-backoff", usual.longestBackoff()),
-                t.path("jitter").asDouble(usual.jitter()));
+    private static ReconnectFigures reconnects(JsonNode table) {
+        ReconnectFigures defaults = ReconnectFigures.USUAL;
+        return new ReconnectFigures(table.path("share").asDouble(defaults.share()),
+                time(table, "burst", defaults.burst()),
+                table.path("surge-factor").asDouble(defaults.surgeFactor()),
+                table.path("least-surge").asDouble(defaults.leastSurge()),
+                time(table, "first-backoff", defaults.firstBackoff()),
+                time(table, "longest-backoff", defaults.longestBackoff()),
+                table.path("jitter").asDouble(defaults.jitter()));
     }
 
-    private static long time(JsonNode table, String name, long usual) {
-        return table.has(name) ? Duration.parse(table.path(name).asText()).micros() : usual;
+    private static long time(JsonNode table, String name, long defaultMicros) {
+        return table.has(name) ? Duration.parse(table.path(name).asText()).micros() : defaultMicros;
     }
 }
--- a/src/main/java/wingspread/config/Switch.java
+++ b/src/main/java/wingspread/config/Switch.java
@@ -6,20 +6,24 @@
 import java.util.regex.Pattern;
 
 /**
- * Whether a file of settings may switch something on. Guards the start of a softswitch: the library that reads TOML
- * is only opened where a line says {@code enabled} and anything but {@code false}.
+ * Checks whether a settings file may enable an optional feature. This shortens the start of a softswitch, as the TOML
+ * library is loaded only if a line mentions {@code enabled} with a value other than {@code false}.
  */
 public final class Switch {
-    private static final Pattern OFF = Pattern.compile("\\s*enabled\\s*=\\s*false\\s*(#.*)?");
+    private static final Pattern DISABLED = Pattern.compile("\\s*enabled\\s*=\\s*false\\s*(#.*)?");
 
     private Switch() { }
 
-    /** False where the file is missing or no line can switch it on; true means that it has to be read. */
+    /**
+     * Returns false if the file does not exist or no line can enable the feature; true if the file has to be parsed.
+     *
+     * @throws ConfigException if the file cannot be read
+     */
     public static boolean mayBeOn(Path file) {
         try {
             return Files.exists(file) && Files.readAllLines(file).stream()
                     .anyMatch(line -> line.contains("enabled") && !line.stripLeading().startsWith("#")
-                            && !OFF.matcher(line).matches());
+                            && !DISABLED.matcher(line).matches());
         } catch (IOException e) {
             throw new ConfigException(file + " cannot be read: " + e.getMessage());
         }
--- a/src/main/java/wingspread/sip/Dialog.java
+++ b/src/main/java/wingspread/sip/Dialog.java
@@ -2,40 +2,46 @@
 
 import java.util.List;
 
-/** A dialog of RFC 3261, 12, on the side that was called: known by Call-ID and both tags. */
+/** A dialog (RFC 3261, section 12) on the side of the callee, identified by its Call-ID and both tags. */
 public final class Dialog {
     private final String callId;
     private final String localTag;
     private final String remoteTag;
-    private final String local;
-    private final String remote;
-    private final String target;
-    private final List<String> routes;
+    private final String localAddress;
+    private final String remoteAddress;
+    private final String remoteTarget;
+    private final List<String> routeSet;
     private final long inviteCseq;
     private final Peer peer;
     private final Timers timers;
     private long remoteCseq;
     private long localCseq;
     private boolean confirmed;
-    private boolean over;
+    private boolean ended;
 
-    /** The dialog that a 2xx with this tag to this INVITE makes. */
+    /**
+     * Creates the dialog that a 2xx response establishes.
+     *
+     * @param invite the INVITE that the response answers
+     * @param localTag the tag that the response adds to the To header
+     * @param peer the peer from which the INVITE was received
+     */
     public Dialog(SipMessage invite, String localTag, Peer peer, Timers timers) {
         this.callId = invite.callId();
         this.localTag = localTag;
         this.remoteTag = tag(invite.header("From"));
-        this.local = invite.header("To") + ";tag=" + localTag;
-        this.remote = invite.header("From");
+        this.localAddress = invite.header("To") + ";tag=" + localTag;
+        this.remoteAddress = invite.header("From");
         String contact = uri(invite.header("Contact"));
-        this.target = contact.isEmpty() ? uri(remote) : contact;
+        this.remoteTarget = contact.isEmpty() ? uri(remoteAddress) : contact;
         this.inviteCseq = invite.cseq();
         this.remoteCseq = invite.cseq();
-        this.peer = peer.toward(target);
+        this.peer = peer.toward(remoteTarget);
         this.timers = timers;
-        this.routes = invite.values("Record-Route");
+        this.routeSet = invite.values("Record-Route");
     }
 
-    /** The tag of a From or To, empty for none. */
+    /** Returns the tag of a From or To header, or the empty string if there is none. */
     public static String tag(String address) {
         String tag = SipMessage.parameter(address, "tag");
         return tag == null ? "" : tag;
@@ -51,12 +57,12 @@
         return (end < 0 ? address : address.substring(0, end)).strip();
     }
 
-    /** What the table of dialogs knows this one by. */
+    /** Returns the key of this dialog in a table of dialogs. */
     public String key() {
         return key(callId, localTag, remoteTag);
     }
 
-    /** The key of the dialog that a request from the other side belongs to. */
+    /** Returns the key of the dialog to which a request from the remote side belongs. */
     public static String keyOf(SipMessage request) {
         return key(request.callId(), tag(request.header("To")), tag(request.header("From")));
     }
@@ -66,32 +72,37 @@
     }
 
     /**
-     * Says the 2xx again until its ACK comes, over any transport (RFC 3261, 13.3.1.4).
+     * Retransmits the 2xx response until its ACK is received, over reliable transports too (RFC 3261, section
+     * 13.3.1.4). The server transaction sends it first.
      *
-     * @param unheard what is done where no ACK comes
+     * @param invitePeer the peer from which the INVITE was received
+     * @param onAckTimeout run if no ACK is received within 64 * T1
      */
-    public void accept(SipMessage ok, Peer back, Runnable unheard) {
+    public void accept(SipMessage ok, Peer invitePeer, Runnable onAckTimeout) {
         long until = timers.now() + Timers.PURSUED;
-        timers.resend(Timers.T2, until, () -> {
-            boolean wanted = !confirmed && !over;
-            if (wanted) {
-                back.send(ok);
+        timers.retransmit(Timers.T2, until, () -> {
+            boolean awaitingAck = !confirmed && !ended;
+            if (awaitingAck) {
+                invitePeer.send(ok);
             }
-            return wanted;
+            return awaitingAck;
         });
         timers.at(until, () -> {
-            if (!confirmed && !over) {
-                unheard.run();
+            if (!confirmed && !ended) {
+                onAckTimeout.run();
             }
         });
     }
 
-    /** An ACK of this dialog. */
+    /** Handles an ACK that belongs to this dialog; only one with the CSeq number of the INVITE confirms it. */
     public void acknowledged(SipMessage ack) {
         confirmed |= ack.cseq() == inviteCseq;
     }
 
-    /** Whether a request comes in order; one with a lower number than the last is out of order. */
+    /**
+     * Whether a request from the remote side is in order, and if so, records its CSeq number. A request with a lower
+     * number than the one before is out of order.
+     */
     public boolean inOrder(SipMessage request) {
         if (request.cseq() < remoteCseq) {
             return false;
@@ -100,30 +111,36 @@
         return true;
     }
 
-    /** Whether the 2xx is acknowledged; before that, no BYE may be sent (RFC 3261, 15). */
+    /** Whether the 2xx response is acknowledged. No BYE may be sent before that (RFC 3261, section 15). */
     public boolean confirmed() {
         return confirmed;
     }
 
-    /** Marks the end: nothing more is said again. */
+    /** Marks the dialog as ended, which stops the retransmissions of the 2xx response. */
     public void end() {
-        over = true;
+        ended = true;
     }
 
+    /** Returns the peer to which requests of this dialog are sent. */
     public Peer peer() {
         return peer;
     }
 
-    /** The BYE that ends this dialog from here. */
+    /**
+     * Creates a BYE from the local side, with the next CSeq number.
+     *
+     * @param cause the Q.850 cause of the Reason header
+     * @param branch the branch parameter of the Via header
+     */
     public SipMessage bye(int cause, String branch) {
-        SipMessage bye = SipMessage.request("BYE", target)
+        SipMessage bye = SipMessage.request("BYE", remoteTarget)
                 .with("Via", "SIP/2.0/" + peer.sentBy() + ";branch=" + branch)
                 .with("Max-Forwards", "70")
-                .with("From", local)
-                .with("To", remote)
+                .with("From", localAddress)
+                .with("To", remoteAddress)
                 .with("Call-ID", callId)
                 .with("CSeq", ++localCseq + " BYE");
-        routes.forEach(route -> bye.with("Route", route));
+        routeSet.forEach(route -> bye.with("Route", route));
         return bye.with("Reason", "Q.850;cause=" + cause);
     }
 }
--- a/src/main/java/wingspread/sip/Peer.java
+++ b/src/main/java/wingspread/sip/Peer.java
@@ -1,16 +1,20 @@
 package wingspread.sip;
 
-/** The other side of a hop: where a message came from, and where what answers it goes. */
+/** The remote side of a hop: the source of a message and the destination of its responses. */
 public interface Peer {
-    /** Sends a message; it may be lost. */
+    /** Sends a message. Delivery is not guaranteed. */
     void send(SipMessage message);
 
-    /** Whether the transport resends by itself, as TCP and TLS do. */
+    /** Whether the transport itself retransmits lost data, as TCP and TLS do. */
     boolean reliable();
 
-    /** A Via's transport and address for requests that start here, as in {@code UDP 127.0.0.1:5060}. */
+    /** Returns the transport and address for the Via header of local requests, as in {@code UDP 127.0.0.1:5060}. */
     String sentBy();
 
-    /** The peer to which later requests of a dialog go, given the other side's Contact. */
+    /**
+     * Returns the peer to which later requests of a dialog are sent.
+     *
+     * @param contact the URI of the remote side's Contact header
+     */
     Peer toward(String contact);
 }
--- a/src/main/java/wingspread/sip/ServerTransaction.java
+++ b/src/main/java/wingspread/sip/ServerTransaction.java
@@ -1,8 +1,8 @@
 package wingspread.sip;
 
 /**
- * A server transaction of RFC 3261, 17.2, with the Accepted state of RFC 6026: it takes up retransmissions and
- * says its final answer again until that is acknowledged.
+ * A server transaction (RFC 3261, section 17.2) with the Accepted state of RFC 6026: it absorbs retransmitted requests
+ * and retransmits its final response until that is acknowledged.
  */
 public final class ServerTransaction {
     private enum State { PROCEEDING, ACCEPTED, COMPLETED, CONFIRMED, TERMINATED }
@@ -10,21 +10,24 @@
     private final SipMessage request;
     private final Peer peer;
     private final Timers timers;
-    private final Runnable forget;
+    private final Runnable onTerminated;
     private State state = State.PROCEEDING;
-    private SipMessage last;
+    /** The last response sent; null before the first. */
+    private SipMessage lastResponse;
 
-    ServerTransaction(SipMessage request, Peer peer, Timers timers, Runnable forget) {
+    ServerTransaction(SipMessage request, Peer peer, Timers timers, Runnable onTerminated) {
         this.request = request;
         this.peer = peer;
         this.timers = timers;
-        this.forget = forget;
+        this.onTerminated = onTerminated;
     }
 
+    /** Returns the request that created this transaction. */
     public SipMessage request() {
         return request;
     }
 
+    /** Returns the peer from which the request was received. */
     public Peer peer() {
         return peer;
     }
@@ -33,23 +36,23 @@
         return request.method().equals("INVITE");
     }
 
-    /** Whether a final answer has been given. */
-    public boolean answered() {
+    /** Whether a final response has been sent. */
+    public boolean hasFinalResponse() {
         return state != State.PROCEEDING;
     }
 
-    /** Whether the final answer was a 2xx, which the dialog says again. */
-    boolean accepted() {
+    /** Whether the final response was a 2xx, which is retransmitted by the dialog. */
+    boolean isAccepted() {
         return state == State.ACCEPTED;
     }
 
-    /** Sends a response; after a final one nothing more is said. */
+    /** Sends a response. Does nothing once a final response has been sent. */
     public void respond(SipMessage response) {
-        // Guards against a second final answer.
-        if (answered()) {
+        // Prevents a second final response.
+        if (hasFinalResponse()) {
             return;
         }
-        last = response;
+        lastResponse = response;
         peer.send(response);
         if (response.status() < 200) {
             return;
@@ -64,28 +67,31 @@
         } else {
             state = State.COMPLETED;
             if (!peer.reliable()) {
-                timers.resend(Timers.T2, until, this::sayAgain);
+                timers.retransmit(Timers.T2, until, this::retransmitResponse);
             }
             timers.at(until, this::terminate);
         }
     }
 
-    private boolean sayAgain() {
+    private boolean retransmitResponse() {
         if (state != State.COMPLETED) {
             return false;
         }
-        peer.send(last);
+        peer.send(lastResponse);
         return true;
     }
 
-    /** The request has come again. In the Accepted state the dialog says the answer again, not this. */
-    void repeated() {
-        if (last != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
-            peer.send(last);
+    /**
+     * Handles a retransmission of the request. In the Accepted state nothing is sent here, as the dialog retransmits
+     * the response.
+     */
+    void requestRetransmitted() {
+        if (lastResponse != null && (state == State.PROCEEDING || state == State.COMPLETED)) {
+            peer.send(lastResponse);
         }
     }
 
-    /** An ACK of this branch: of an answer other than 2xx. */
+    /** Handles an ACK with the branch of this transaction, which acknowledges a final response other than a 2xx. */
     void acknowledged() {
         if (state == State.COMPLETED && isInvite()) {
             state = State.CONFIRMED;
@@ -96,7 +102,7 @@
     private void terminate() {
         if (state != State.TERMINATED) {
             state = State.TERMINATED;
-            forget.run();
+            onTerminated.run();
         }
     }
 }
--- a/src/main/java/wingspread/sip/SipDecoder.java
+++ b/src/main/java/wingspread/sip/SipDecoder.java
@@ -8,9 +8,10 @@
 import wingspread.net.FrameDecoder;
 import wingspread.sip.SipMessage.Header;
 
-/** Cuts SIP messages out of a stream, by their Content-Length, and reads them out of datagrams. */
+/** Decodes SIP messages from a byte stream, where the Content-Length delimits them, and from datagrams. */
 public final class SipDecoder implements FrameDecoder<SipMessage> {
-    private static final int MOST_HEADERS = 100;
+    /** The limit on the lines of a message head, its first line included. */
+    private static final int MAX_HEAD_LINES = 100;
 
     @Override
     public Step<SipMessage> next(byte[] bytes, int from, int to) throws BadInput {
@@ -18,58 +19,65 @@
         while (start < to && (bytes[start] == '\r' || bytes[start] == '\n')) {
             start++;
         }
-        int head = headEnd(bytes, start, to);
-        if (head < 0) {
-            // Guards against a head without an end, which would be kept for ever.
+        int bodyStart = findBody(bytes, start, to);
+        if (bodyStart < 0) {
+            // Limits the buffered bytes of a message whose head never ends.
             if (to - start > MAX_FRAME) {
-                throw new BadInput("SIP: a message of over " + MAX_FRAME + " bytes");
+                throw new BadInput("SIP: message exceeds " + MAX_FRAME + " bytes");
             }
             return new Step<>(null, start - from);
         }
-        SipMessage message = head(bytes, start, head);
-        long length = length(message);
+        SipMessage message = parseHead(bytes, start, bodyStart);
+        long length = contentLength(message);
         if (length < 0) {
-            throw new BadInput("SIP: no Content-Length that can be read");
+            throw new BadInput("SIP: missing Content-Length");
         }
-        if (head - start + length > MAX_FRAME) {
-            throw new BadInput("SIP: a message of over " + MAX_FRAME + " bytes");
+        if (bodyStart - start + length > MAX_FRAME) {
+            throw new BadInput("SIP: message exceeds " + MAX_FRAME + " bytes");
         }
-        int end = head + (int) length;
+        int end = bodyStart + (int) length;
         if (to < end) {
             return new Step<>(null, start - from);
         }
-        return new Step<>(message.withBody(Arrays.copyOfRange(bytes, head, end)), end - from);
+        return new Step<>(message.withBody(Arrays.copyOfRange(bytes, bodyStart, end)), end - from);
     }
 
-    /** The one message of a datagram; without a Content-Length its body is all that follows the head. */
+    /**
+     * Decodes the message of a datagram. Without a Content-Length, its body is everything that follows the head.
+     *
+     * @throws BadInput if the datagram does not hold a complete message
+     */
     public static SipMessage datagram(byte[] bytes) throws BadInput {
-        int head = headEnd(bytes, 0, bytes.length);
-        if (head < 0) {
-            throw new BadInput("SIP: a datagram without a whole head");
+        int bodyStart = findBody(bytes, 0, bytes.length);
+        if (bodyStart < 0) {
+            throw new BadInput("SIP: datagram without a complete message head");
         }
-        SipMessage message = head(bytes, 0, head);
-        long length = message.header("Content-Length").isEmpty() ? bytes.length - head : length(message);
-        if (length < 0 || length > bytes.length - head) {
-            throw new BadInput("SIP: a Content-Length that the datagram does not hold");
+        SipMessage message = parseHead(bytes, 0, bodyStart);
+        long length = message.header("Content-Length").isEmpty() ? bytes.length - bodyStart : contentLength(message);
+        if (length < 0 || length > bytes.length - bodyStart) {
+            throw new BadInput("SIP: Content-Length exceeds the datagram");
         }
-        return message.withBody(Arrays.copyOfRange(bytes, head, head + (int) length));
+        return message.withBody(Arrays.copyOfRange(bytes, bodyStart, bodyStart + (int) length));
     }
 
-    /** Guards against two lengths that differ, which the two ends of a connection would read apart. */
-    private static long length(SipMessage message) throws BadInput {
-        long found = -1;
+    /**
+     * Returns the Content-Length, or -1 if there is none. Differing values are rejected, as the two ends of a
+     * connection could choose different ones and disagree on where the next message starts.
+     */
+    private static long contentLength(SipMessage message) throws BadInput {
+        long length = -1;
         for (String text : message.values("Content-Length")) {
             long value = SipMessage.number(text);
-            if (value < 0 || found >= 0 && found != value) {
-                throw new BadInput("SIP: a bad Content-Length");
+            if (value < 0 || length >= 0 && length != value) {
+                throw new BadInput("SIP: invalid or conflicting Content-Length");
             }
-            found = value;
+            length = value;
         }
-        return found;
+        return length;
     }
 
-    /** Where the body starts, or -1. */
-    private static int headEnd(byte[] bytes, int from, int to) {
+    /** Returns the index of the first byte after the head, or -1 if the head is incomplete. */
+    private static int findBody(byte[] bytes, int from, int to) {
         for (int i = from; i + 3 < to; i++) {
             if (bytes[i] == '\r' && bytes[i + 1] == '\n' && bytes[i + 2] == '\r' && bytes[i + 3] == '\n') {
                 return i + 4;
@@ -78,18 +86,18 @@
         return -1;
     }
 
-    private static SipMessage head(byte[] bytes, int from, int to) throws BadInput {
+    private static SipMessage parseHead(byte[] bytes, int from, int to) throws BadInput {
         String[] lines = new String(bytes, from, to - from - 4, StandardCharsets.ISO_8859_1).split("\r\n");
-        SipMessage first = firstLine(lines[0]);
-        if (lines.length > MOST_HEADERS) {
-            throw new BadInput("SIP: over " + MOST_HEADERS + " headers");
+        SipMessage startLine = parseStartLine(lines[0]);
+        if (lines.length > MAX_HEAD_LINES) {
+            throw new BadInput("SIP: more than " + MAX_HEAD_LINES + " lines in a message head");
         }
         List<Header> headers = new ArrayList<>(lines.length);
         for (int i = 1; i < lines.length; i++) {
             String line = lines[i];
             if (line.startsWith(" ") || line.startsWith("\t")) {
                 if (headers.isEmpty()) {
-                    throw new BadInput("SIP: a folded line without a header");
+                    throw new BadInput("SIP: folded line without a preceding header");
                 }
                 Header last = headers.remove(headers.size() - 1);
                 headers.add(new Header(last.name(), last.value() + " " + line.strip()));
@@ -97,29 +105,30 @@
             }
             int colon = line.indexOf(':');
             if (colon < 1 || line.substring(0, colon).isBlank()) {
-                throw new BadInput("SIP: a header line without a name");
+                throw new BadInput("SIP: header line without a name");
             }
             String name = line.substring(0, colon).strip();
             boolean via = name.equalsIgnoreCase("Via") || name.equalsIgnoreCase("v");
-            // One line may hold several hops; each becomes a header, so that the first is the last hop's.
+            // A Via line may list several hops. Each becomes a header of its own, so that the first is the last hop.
             for (String value : via ? line.substring(colon + 1).split(",") : new String[] {line.substring(colon + 1)}) {
                 headers.add(new Header(name, value.strip()));
             }
         }
-        return new SipMessage(first.method(), first.uri(), first.status(), first.reason(), headers, first.body());
+        return new SipMessage(startLine.method(), startLine.uri(), startLine.status(), startLine.reason(), headers,
+                startLine.body());
     }
 
-    private static SipMessage firstLine(String line) throws BadInput {
+    private static SipMessage parseStartLine(String line) throws BadInput {
         if (line.startsWith("SIP/2.0 ")) {
             long status = line.length() < 11 ? -1 : SipMessage.number(line.substring(8, 11));
             if (status < 100 || status > 699) {
-                throw new BadInput("SIP: a status line without a status");
+                throw new BadInput("SIP: status line without a valid status code");
             }
             return SipMessage.response((int) status, line.substring(Math.min(12, line.length())));
         }
         String[] parts = line.split(" ");
         if (parts.length != 3 || !parts[2].equals("SIP/2.0") || parts[0].isEmpty() || parts[1].isEmpty()) {
-            throw new BadInput("SIP: a first line that is neither request nor response");
+            throw new BadInput("SIP: start line is neither a request line nor a status line");
         }
         return SipMessage.request(parts[0], parts[1]);
     }
--- a/src/main/java/wingspread/sip/SipMessage.java
+++ b/src/main/java/wingspread/sip/SipMessage.java
@@ -9,52 +9,55 @@
 import java.util.Map;
 
 /**
- * A request or a response of RFC 3261. Text holds one char for each byte.
+ * A SIP request or response (RFC 3261). Strings hold one char per byte.
  *
- * @param method of a request, null for a response
- * @param uri of a request, null for a response
- * @param status of a response, 0 for a request
- * @param reason the phrase of a response
+ * @param method the method of a request; null for a response
+ * @param uri the request URI; null for a response
+ * @param status the status code of a response; 0 for a request
+ * @param reason the reason phrase of a response; empty for a request
+ * @param headers the headers in their order on the wire
+ * @param body the body; empty if there is none
  */
 public record SipMessage(
         String method, String uri, int status, String reason, List<Header> headers, byte[] body) {
-    private static final Map<String, String> COMPACT = Map.of("i", "call-id", "l", "content-length", "v", "via",
+    /** The full lower-case names of the compact header forms. */
+    private static final Map<String, String> COMPACT_FORMS = Map.of("i", "call-id", "l", "content-length", "v", "via",
             "f", "from", "t", "to", "m", "contact", "c", "content-type", "e", "content-encoding", "s", "subject",
             "k", "supported");
     private static final byte[] NO_BODY = new byte[0];
 
-    /** One header line. */
+    /** A header field, with its name as received. */
     public record Header(String name, String value) { }
 
-    /** A request without headers. */
+    /** Creates a request without headers. */
     public static SipMessage request(String method, String uri) {
         return new SipMessage(method, uri, 0, "", new ArrayList<>(), NO_BODY);
     }
 
-    /** A response without headers. */
+    /** Creates a response without headers. */
     public static SipMessage response(int status, String reason) {
         return new SipMessage(null, null, status, reason, new ArrayList<>(), NO_BODY);
     }
 
-    /** A response with the headers that RFC 3261, 8.2.6.2 copies from the request. */
+    /** Creates a response to this request, with the headers to copy from it (RFC 3261, section 8.2.6.2). */
     public SipMessage reply(int code, String phrase) {
-        SipMessage out = response(code, phrase);
+        SipMessage response = response(code, phrase);
         for (Header header : headers) {
             switch (canonical(header.name())) {
-                case "via", "from", "to", "call-id", "cseq" -> out.headers.add(header);
+                case "via", "from", "to", "call-id", "cseq" -> response.headers.add(header);
                 default -> { }
             }
         }
-        return out;
+        return response;
     }
 
-    /** This message with one header line more. */
+    /** Adds a header to this message and returns this message. */
     public SipMessage with(String name, String value) {
         headers.add(new Header(name, value));
         return this;
     }
 
-    /** This message with a body. */
+    /** Returns a message with this body; it shares the list of headers with this one. */
     public SipMessage withBody(byte[] newBody) {
         return new SipMessage(method, uri, status, reason, headers, newBody);
     }
@@ -63,41 +66,41 @@
         return method != null;
     }
 
-    /** The first value of a header, long or compact, or the empty string. */
+    /** Returns the first value of a header, in its full or compact form, or the empty string if it is absent. */
     public String header(String name) {
-        String wanted = canonical(name);
+        String canonicalName = canonical(name);
         for (Header header : headers) {
-            if (canonical(header.name()).equals(wanted)) {
+            if (canonical(header.name()).equals(canonicalName)) {
                 return header.value();
             }
         }
         return "";
     }
 
-    /** All values of a header, in order. */
+    /** Returns all values of a header, in their order. */
     public List<String> values(String name) {
-        String wanted = canonical(name);
-        return headers.stream().filter(h -> canonical(h.name()).equals(wanted)).map(Header::value).toList();
+        String canonicalName = canonical(name);
+        return headers.stream().filter(h -> canonical(h.name()).equals(canonicalName)).map(Header::value).toList();
     }
 
     public String callId() {
         return header("Call-ID");
     }
 
-    /** The number of the CSeq header, or -1. */
+    /** Returns the sequence number of the CSeq header, or -1 if it is absent or invalid. */
     public long cseq() {
         String value = header("CSeq");
         int end = value.indexOf(' ');
         return number(end < 0 ? value : value.substring(0, end));
     }
 
-    /** The method of the CSeq header. */
+    /** Returns the method of the CSeq header. */
     public String cseqMethod() {
         String value = header("CSeq");
         return value.substring(value.lastIndexOf(' ') + 1).strip();
     }
 
-    /** A decimal number of a header, or -1. */
+    /** Parses a non-negative decimal number of up to 18 digits; returns -1 for any other text. */
     public static long number(String text) {
         String digits = text.strip();
         if (digits.isEmpty() || digits.length() > 18 || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
@@ -106,19 +109,22 @@
         return Long.parseLong(digits);
     }
 
-    /** A parameter of a header's value, such as the branch of a Via; null where it is absent. */
+    /**
+     * Returns a parameter of a header value, such as the branch of a Via; the empty string for a parameter without a
+     * value, and null if it is absent.
+     */
     public static String parameter(String value, String name) {
         int close = value.lastIndexOf('>');
         for (String part : value.substring(close + 1).split(";")) {
-            int eq = part.indexOf('=');
-            if ((eq < 0 ? part : part.substring(0, eq)).strip().equalsIgnoreCase(name)) {
-                return eq < 0 ? "" : part.substring(eq + 1).strip();
+            int equals = part.indexOf('=');
+            if ((equals < 0 ? part : part.substring(0, equals)).strip().equalsIgnoreCase(name)) {
+                return equals < 0 ? "" : part.substring(equals + 1).strip();
             }
         }
         return null;
     }
 
-    /** The message as bytes, with its Content-Length. */
+    /** Encodes this message, with a Content-Length header added. */
     public ByteBuf encode() {
         StringBuilder out = new StringBuilder(256);
         if (isRequest()) {
@@ -135,6 +141,6 @@
 
     private static String canonical(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
-        return COMPACT.getOrDefault(lower, lower);
+        return COMPACT_FORMS.getOrDefault(lower, lower);
     }
 }
--- a/src/main/java/wingspread/sip/Timers.java
+++ b/src/main/java/wingspread/sip/Timers.java
@@ -4,48 +4,62 @@
 import wingspread.turn.Deadlines;
 import wingspread.turn.Worker;
 
-/** The timers of the transaction layer, in one queue. A timer that has become moot finds so when it fires. */
+/** The timers of the transaction layer. Timers are not cancelled; each task checks whether it still applies. */
 public final class Timers implements Worker {
-    /** RFC 3261, table 4: round trip estimate, longest gap of resends, longest life of a message; in us. */
+    /** T1 of RFC 3261, table 4, in microseconds: the estimate of the round-trip time. */
     public static final long T1 = 500_000;
+    /** T2 of RFC 3261, table 4, in microseconds: the maximum interval between retransmissions. */
     public static final long T2 = 4_000_000;
+    /** T4 of RFC 3261, table 4, in microseconds: the maximum time that a message remains in the network. */
     public static final long T4 = 5_000_000;
-    /** Timers B, F, H, J and L: how long a transaction is pursued. */
+    /** The timers B, F, H, J and L of RFC 3261 and RFC 6026, in microseconds: the timeout of a transaction. */
     public static final long PURSUED = 64 * T1;
 
     private final LongSupplier clock;
     private final Deadlines deadlines = new Deadlines();
 
+    /**
+     * Creates an empty queue of timers.
+     *
+     * @param clock returns the time in microseconds
+     */
     public Timers(LongSupplier clock) {
         this.clock = clock;
     }
 
+    /** Returns the time of the clock in microseconds. */
     public long now() {
         return clock.getAsLong();
     }
 
-    /** Runs a task at a time. */
-    public void at(long time, Runnable what) {
-        deadlines.add(time, what);
+    /** Schedules a task for a time of the clock. */
+    public void at(long time, Runnable task) {
+        deadlines.add(time, task);
     }
 
-    /** Resends at doubling gaps, not above {@code longest}, until a time or until it is no longer wanted. */
-    void resend(long longest, long until, Resend what) {
-        again(T1, longest, until, what);
+    /**
+     * Retransmits a message, first after T1 and then at doubling intervals.
+     *
+     * @param maxInterval the maximum interval in microseconds
+     * @param until the time at which retransmission stops at the latest
+     */
+    void retransmit(long maxInterval, long until, Retransmission retransmission) {
+        scheduleRetransmission(T1, maxInterval, until, retransmission);
     }
 
-    /** A message sent again while that is wanted; answers whether it still is. */
+    /** The retransmission of a message. */
     @FunctionalInterface
-    interface Resend {
-        boolean again();
+    interface Retransmission {
+        /** Sends the message again if that is still necessary, and returns whether it was. */
+        boolean send();
     }
 
-    private void again(long gap, long longest, long until, Resend what) {
-        long next = now() + gap;
+    private void scheduleRetransmission(long interval, long maxInterval, long until, Retransmission retransmission) {
+        long next = now() + interval;
         if (next < until) {
             at(next, () -> {
-                if (what.again()) {
-                    again(Math.min(2 * gap, longest), longest, until, what);
+                if (retransmission.send()) {
+                    scheduleRetransmission(Math.min(2 * interval, maxInterval), maxInterval, until, retransmission);
                 }
             });
         }
--- a/src/main/java/wingspread/sip/TransactionLayer.java
+++ b/src/main/java/wingspread/sip/TransactionLayer.java
@@ -4,91 +4,97 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The transactions of RFC 3261, 17: those that others start here, and non-INVITE ones that start here. */
+/** The transaction layer (RFC 3261, section 17): server transactions, and client transactions other than INVITE. */
 public final class TransactionLayer {
-    /** What RFC 3261 calls the transaction user. */
+    /** The transaction user of RFC 3261. */
     public interface User {
-        /** A new request, other than an ACK or a CANCEL that meets its INVITE. */
+        /** Called for a new request, other than an ACK or a CANCEL. */
         void request(ServerTransaction transaction);
 
-        /** The INVITE of a transaction without a final answer is cancelled. */
+        /** Called if an INVITE without a final response has been cancelled. */
         void cancelled(ServerTransaction invite);
 
-        /** An ACK that is no transaction's: it acknowledges a 2xx. */
+        /** Called for an ACK that no INVITE transaction consumes: it acknowledges a 2xx response. */
         void acknowledged(SipMessage ack);
     }
 
-    private static final String MAGIC = "z9hG4bK";
+    private static final String MAGIC_COOKIE = "z9hG4bK";
 
     private final Timers timers;
     private final User user;
-    private final int most;
-    private final Map<String, ServerTransaction> servers = new HashMap<>();
-    /** Who hears the final answers of requests of ours. */
-    private final Map<String, Consumer<SipMessage>> clients = new HashMap<>();
+    private final int maxServerTransactions;
+    private final Map<String, ServerTransaction> serverTransactions = new HashMap<>();
+    /** The handlers of the final responses to pending requests of this side. */
+    private final Map<String, Consumer<SipMessage>> responseHandlers = new HashMap<>();
 
     /**
-     * A layer.
+     * Creates a layer without transactions.
      *
-     * @param most transactions at a time; what is beyond is told to come back later
+     * @param user handles the requests
+     * @param maxServerTransactions the maximum number of server transactions; further requests are rejected with a 503
+     *     response
      */
-    public TransactionLayer(Timers timers, User user, int most) {
+    public TransactionLayer(Timers timers, User user, int maxServerTransactions) {
         this.timers = timers;
         this.user = user;
-        this.most = most;
+        this.maxServerTransactions = maxServerTransactions;
     }
 
-    /** Takes a message. */
+    /** Handles a message received from a peer. */
     public void received(SipMessage message, Peer peer) {
         if (!message.isRequest()) {
-            response(message);
+            handleResponse(message);
             return;
         }
-        ServerTransaction known = servers.get(key(message, message.method().equals("ACK") ? "INVITE"
-                : message.method()));
+        ServerTransaction matching = serverTransactions.get(key(message,
+                message.method().equals("ACK") ? "INVITE" : message.method()));
         if (!message.method().equals("ACK")) {
-            if (known != null) {
-                known.repeated();
+            if (matching != null) {
+                matching.requestRetransmitted();
             } else {
                 start(message, peer);
             }
-        } else if (known != null && known.answered() && !known.accepted()) {
-            known.acknowledged();
+        } else if (matching != null && matching.hasFinalResponse() && !matching.isAccepted()) {
+            matching.acknowledged();
         } else {
             user.acknowledged(message);
         }
     }
 
     private void start(SipMessage message, Peer peer) {
-        // Guards against a flood: without a bound, half a minute's transactions would fill the memory.
-        if (servers.size() >= most) {
+        // Bounds the memory used in a flood of requests, as each transaction is kept for half a minute.
+        if (serverTransactions.size() >= maxServerTransactions) {
             peer.send(message.reply(503, "Service Unavailable").with("Retry-After", "5"));
             return;
         }
         String key = key(message, message.method());
-        ServerTransaction transaction = new ServerTransaction(message, peer, timers, () -> servers.remove(key));
-        servers.put(key, transaction);
+        ServerTransaction transaction = new ServerTransaction(message, peer, timers,
+                () -> serverTransactions.remove(key));
+        serverTransactions.put(key, transaction);
         if (!message.method().equals("CANCEL")) {
             user.request(transaction);
             return;
         }
-        ServerTransaction invite = servers.get(key(message, "INVITE"));
+        ServerTransaction invite = serverTransactions.get(key(message, "INVITE"));
         if (invite == null) {
             transaction.respond(message.reply(481, "Call/Transaction Does Not Exist"));
             return;
         }
         transaction.respond(message.reply(200, "OK"));
-        // A CANCEL that crosses the final answer changes nothing: that answer is the one.
-        if (!invite.answered()) {
+        // A CANCEL that crosses the final response has no effect on the INVITE.
+        if (!invite.hasFinalResponse()) {
             user.cancelled(invite);
         }
     }
 
-    /** RFC 3261, 17.2.3: branch, sent-by and method; without the magic cookie what RFC 2543 compared. */
+    /**
+     * Returns the key of a server transaction: branch, sent-by and method (RFC 3261, section 17.2.3) or, without the
+     * magic cookie in the branch, the fields that RFC 2543 compares.
+     */
     private static String key(SipMessage message, String method) {
         String via = message.header("Via");
         String branch = SipMessage.parameter(via, "branch");
-        if (branch != null && branch.startsWith(MAGIC)) {
+        if (branch != null && branch.startsWith(MAGIC_COOKIE)) {
             return method + ' ' + branch + ' ' + sentBy(via);
         }
         return method + ' ' + message.uri() + ' ' + message.callId() + ' ' + message.cseq() + ' '
@@ -101,34 +107,40 @@
         return head.substring(head.lastIndexOf(' ') + 1);
     }
 
-    // Requests of ours.
+    // Client transactions.
 
-    /** Sends a request other than INVITE, again until it is answered or its time is over. */
-    public void send(SipMessage request, Peer peer, Consumer<SipMessage> heard) {
+    /**
+     * Sends a request other than INVITE and, over an unreliable transport, retransmits it until a final response is
+     * received or the transaction times out.
+     *
+     * @param responseHandler receives the final response; not called after a timeout
+     */
+    public void send(SipMessage request, Peer peer, Consumer<SipMessage> responseHandler) {
         String key = clientKey(request);
-        clients.put(key, heard);
+        responseHandlers.put(key, responseHandler);
         peer.send(request);
         long until = timers.now() + Timers.PURSUED;
         if (!peer.reliable()) {
-            timers.resend(Timers.T2, until, () -> {
-                boolean open = clients.get(key) == heard;
-                if (open) {
+            timers.retransmit(Timers.T2, until, () -> {
+                boolean pending = responseHandlers.get(key) == responseHandler;
+                if (pending) {
                     peer.send(request);
                 }
-                return open;
+                return pending;
             });
         }
-        timers.at(until, () -> clients.remove(key, heard));
+        timers.at(until, () -> responseHandlers.remove(key, responseHandler));
     }
 
     private static String clientKey(SipMessage message) {
         return message.cseqMethod() + ' ' + SipMessage.parameter(message.header("Via"), "branch");
     }
 
-    private void response(SipMessage message) {
-        Consumer<SipMessage> heard = message.status() < 200 ? null : clients.remove(clientKey(message));
-        if (heard != null) {
-            heard.accept(message);
+    private void handleResponse(SipMessage message) {
+        Consumer<SipMessage> responseHandler = message.status() < 200 ? null
+                : responseHandlers.remove(clientKey(message));
+        if (responseHandler != null) {
+            responseHandler.accept(message);
         }
     }
 }
--- a/src/main/java/wingspread/toml/TomlException.java
+++ b/src/main/java/wingspread/toml/TomlException.java
@@ -1,6 +1,6 @@
 package wingspread.toml;
 
-/** A file of settings cannot be taken; the message is one line that names file, place and what was expected. */
+/** Thrown if a settings file is invalid; the message is one line with the file, the path and what was expected. */
 public final class TomlException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/wingspread/toml/TomlFile.java
+++ b/src/main/java/wingspread/toml/TomlFile.java
@@ -18,23 +18,23 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Files of settings: TOML, checked as a whole by a JSON Schema before anything of it is used. */
+/** Reads settings files in TOML, each of which is validated against a JSON Schema before any of its values is used. */
 public final class TomlFile {
-    /** Guards the memory: no file of settings is as long as this. */
-    private static final long LONGEST = 1 << 20;
+    /** The maximum size of a settings file, which bounds the memory used. */
+    private static final long MAX_BYTES = 1 << 20;
 
     private TomlFile() { }
 
     /**
-     * Reads a file and checks it.
+     * Reads and validates a file.
      *
-     * @param schema the schema's resource, from the root of the class path
-     * @throws TomlException where it cannot be read, is no TOML or breaks the schema
+     * @param schema the path of the schema resource, from the root of the class path
+     * @throws TomlException if the file cannot be read, is not TOML or does not conform to the schema
      */
     public static ObjectNode read(Path file, String schema) {
         try {
-            if (Files.size(file) > LONGEST) {
-                throw new TomlException(file + ": longer than " + LONGEST + " bytes");
+            if (Files.size(file) > MAX_BYTES) {
+                throw new TomlException(file + ": exceeds " + MAX_BYTES + " bytes");
             }
             return parse(Files.readString(file), file.toString(), schema);
         } catch (IOException e) {
@@ -42,17 +42,23 @@
         }
     }
 
-    /** Reads a shipped file, which is checked like any other. */
+    /** Reads and validates a resource of this program. */
     public static ObjectNode resource(String name, String schema) {
         return parse(text(name), name, schema);
     }
 
-    /** Reads text under a name for its errors. */
+    /**
+     * Parses and validates a text.
+     *
+     * @param name the name of the text in error messages
+     * @param schema the path of the schema resource, from the root of the class path
+     * @throws TomlException if the text is not TOML or does not conform to the schema
+     */
     public static ObjectNode parse(String text, String name, String schema) {
         ObjectNode tree;
         try {
             if (!(new TomlMapper().readTree(text) instanceof ObjectNode object)) {
-                throw new TomlException(name + ": holds no tables");
+                throw new TomlException(name + ": not a TOML table");
             }
             tree = object;
         } catch (JsonProcessingException e) {
@@ -62,18 +68,18 @@
         List<Error> errors = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                 .getSchema(text(schema), InputFormat.JSON).validate(tree);
         if (!errors.isEmpty()) {
-            throw new TomlException(name + ": " + inWords(errors));
+            throw new TomlException(name + ": " + describe(errors));
         }
         return tree;
     }
 
-    /** The first place at fault, and all that was expected there. */
-    private static String inWords(List<Error> errors) {
-        Map<String, List<Error>> byPlace = errors.stream().collect(Collectors.groupingBy(
+    /** Describes the first invalid path with everything that was expected there. */
+    private static String describe(List<Error> errors) {
+        Map<String, List<Error>> byLocation = errors.stream().collect(Collectors.groupingBy(
                 e -> e.getInstanceLocation().toString(), LinkedHashMap::new, Collectors.toList()));
-        Map.Entry<String, List<Error>> first = byPlace.entrySet().iterator().next();
-        String place = first.getKey().replaceFirst("^/", "").replace('/', '.');
-        return (place.isEmpty() ? "" : place + " ") + first.getValue().stream().map(e -> oneLine(e.getMessage()))
+        Map.Entry<String, List<Error>> first = byLocation.entrySet().iterator().next();
+        String path = first.getKey().replaceFirst("^/", "").replace('/', '.');
+        return (path.isEmpty() ? "" : path + " ") + first.getValue().stream().map(e -> oneLine(e.getMessage()))
                 .distinct().collect(Collectors.joining(" or "));
     }
 
@@ -81,20 +87,24 @@
         return text.replaceAll("\\s+", " ");
     }
 
-    /** The text of a tree. */
+    /** Returns the TOML text of a tree. */
     public static String write(ObjectNode tree) {
         try {
             return new TomlMapper().writeValueAsString(tree);
         } catch (JsonProcessingException e) {
-            throw new TomlException("settings cannot be written: " + oneLine(e.getOriginalMessage()));
+            throw new TomlException("cannot write settings: " + oneLine(e.getOriginalMessage()));
         }
     }
 
-    /** The text of a shipped file. */
+    /**
+     * Returns the text of a resource of this program.
+     *
+     * @throws TomlException if the resource is missing or cannot be read
+     */
     public static String text(String resource) {
         try (InputStream in = TomlFile.class.getResourceAsStream(resource)) {
             if (in == null) {
-                throw new TomlException(resource + ": is not shipped with this program");
+                throw new TomlException(resource + ": no such resource");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -102,14 +112,15 @@
         }
     }
 
-    /** Lays a tree over another, table by table; lists and plain values are replaced whole. */
-    public static ObjectNode over(ObjectNode base, ObjectNode top) {
-        ObjectNode out = base.deepCopy();
-        top.properties().forEach(entry -> {
-            JsonNode below = out.get(entry.getKey());
-            out.set(entry.getKey(), below instanceof ObjectNode table && entry.getValue() instanceof ObjectNode more
-                    ? over(table, more) : entry.getValue());
+    /** Merges two trees, table by table; lists and plain values of {@code overrides} replace those of {@code base}. */
+    public static ObjectNode over(ObjectNode base, ObjectNode overrides) {
+        ObjectNode merged = base.deepCopy();
+        overrides.properties().forEach(entry -> {
+            JsonNode baseValue = merged.get(entry.getKey());
+            merged.set(entry.getKey(),
+                    baseValue instanceof ObjectNode baseTable && entry.getValue() instanceof ObjectNode table
+                    ? over(baseTable, table) : entry.getValue());
         });
-        return out;
+        return merged;
     }
 }
--- a/src/test/java/wingspread/SipServiceTest.java
+++ b/src/test/java/wingspread/SipServiceTest.java
@@ -31,7 +31,7 @@
 import org.bouncycastle.cert.jcajce.JcaX509CertificateConverter;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 import org.junit.jupiter.api.Test;
-import wingspread.acme.Issued;
+import wingspread.acme.IssuedCertificate;
 import wingspread.config.SipConfig;
 import wingspread.control.CallControl.CallClass;
 import wingspread.control.CallControl.Effect;
@@ -46,14 +46,14 @@
     private static final CallClass PLAIN = new CallClass("plain", 1, 9_000_000, 1, 0, 1, 0, Effect.SAFE,
             RepeatGroup.ALL, 0, List.of());
 
-    private static Issued certificate(String name) throws Exception {
+    private static IssuedCertificate certificate(String name) throws Exception {
         KeyPair key = KeyPairGenerator.getInstance("EC").generateKeyPair();
         X500Name subject = new X500Name("CN=" + name);
         X509Certificate certificate = new JcaX509CertificateConverter().getCertificate(
                 new X509v3CertificateBuilder(subject, BigInteger.ONE, new Date(0), new Date(4_000_000_000_000L),
                         subject, SubjectPublicKeyInfo.getInstance(key.getPublic().getEncoded()))
                         .build(new JcaContentSignerBuilder("SHA256withECDSA").build(key.getPrivate())));
-        return new Issued(key.getPrivate(), List.of(certificate));
+        return new IssuedCertificate(key.getPrivate(), List.of(certificate));
     }
 
     private static SSLSocket connect(InetSocketAddress address) throws Exception {
@@ -135,10 +135,10 @@
     }
 
     /** Binding happens on the loop too, so that it is done when this returns. */
-    private static void secure(Loop loop, SipService service, Issued issued) throws Exception {
+    private static void secure(Loop loop, SipService service, IssuedCertificate issued) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
-            service.secure(issued);
+            service.useCertificate(issued);
             loop.execute(() -> done.complete(null));
         });
         done.get(10, TimeUnit.SECONDS);
--- a/src/test/java/wingspread/acme/CertificateKeeperTest.java
+++ b/src/test/java/wingspread/acme/CertificateManagerTest.java
@@ -23,14 +23,14 @@
 import wingspread.config.SipConfig;
 
 /** Obtaining and renewing against the stand-in authority, on a clock that the test moves. */
-class CertificateKeeperTest {
+class CertificateManagerTest {
     private static final Duration LIFE = Duration.ofDays(90);
 
     @TempDir
     Path folder;
 
     private Instant now = Instant.parse("2026-06-01T00:00:00Z");
-    private final List<Issued> installed = new ArrayList<>();
+    private final List<IssuedCertificate> installed = new ArrayList<>();
     private StandInAuthority authority;
     private InetSocketAddress http;
 
@@ -47,9 +47,9 @@
         authority.close();
     }
 
-    private CertificateKeeper keeper() {
+    private CertificateManager keeper() {
         CertificateStore store = new CertificateStore(folder.resolve("acme"));
-        return new CertificateKeeper(new AcmeAuthority(new SipConfig.Acme(authority.url("/directory"), "sip.test",
+        return new CertificateManager(new AcmeAuthority(new SipConfig.Acme(authority.url("/directory"), "sip.test",
                 "", http, folder), store, () -> now, time -> now = time), store, () -> now, installed::add);
     }
 
@@ -59,24 +59,24 @@
 
     @Test
     void aCertificateIsOrderedAndRenewedWithAThirdOfItsLifeLeft() throws Exception {
-        CertificateKeeper keeper = keeper();
+        CertificateManager keeper = keeper();
         Instant ordered = now;
-        assertEquals(ordered.plus(LIFE.dividedBy(3).multipliedBy(2)), keeper.tick());
+        assertEquals(ordered.plus(LIFE.dividedBy(3).multipliedBy(2)), keeper.renewIfDue());
         assertEquals(List.of("order", "challenge met", "finalize"), authority.done);
         issuedAtLast();
         now = ordered.plus(Duration.ofDays(59));
-        keeper.tick();
+        keeper.renewIfDue();
         assertEquals(1, installed.size());
         now = ordered.plus(Duration.ofDays(61));
-        keeper.tick();
+        keeper.renewIfDue();
         assertEquals(2, installed.size());
         issuedAtLast();
     }
 
     @Test
     void aRestartUsesTheSavedCertificateAndOrdersNone() {
-        keeper().tick();
-        keeper().tick();
+        keeper().renewIfDue();
+        keeper().renewIfDue();
         assertEquals(2, installed.size());
         assertEquals(installed.get(0), installed.get(1));
         assertEquals(1, authority.done.stream().filter("order"::equals).count());
@@ -85,7 +85,7 @@
     @Test
     void aBadNonceIsTriedAgainWithAFreshOne() throws Exception {
         authority.badNonces = 2;
-        keeper().tick();
+        keeper().renewIfDue();
         assertEquals(2, authority.done.stream().filter("bad nonce"::equals).count());
         issuedAtLast();
     }
@@ -93,26 +93,26 @@
     @Test
     void aRefusedChallengeInstallsNothingAndIsTriedAgainLater() {
         authority.refuseChallenge = true;
-        CertificateKeeper keeper = keeper();
-        Instant next = keeper.tick();
+        CertificateManager keeper = keeper();
+        Instant next = keeper.renewIfDue();
         assertEquals(0, installed.size());
         assertEquals(now.plus(Duration.ofMinutes(1)), next);
-        keeper.tick();
+        keeper.renewIfDue();
         assertEquals(1, authority.done.stream().filter("order"::equals).count());
         authority.refuseChallenge = false;
         now = next;
-        keeper.tick();
+        keeper.renewIfDue();
         assertEquals(1, installed.size());
     }
 
     @Test
     void whileTheAuthorityIsDownTheOldCertificateStaysAndTriesGrowRarer() {
-        CertificateKeeper keeper = keeper();
-        now = keeper.tick();
+        CertificateManager keeper = keeper();
+        now = keeper.renewIfDue();
         authority.down = true;
         List<Duration> gaps = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Instant next = keeper.tick();
+            Instant next = keeper.renewIfDue();
             gaps.add(Duration.between(now, next));
             now = next;
         }
@@ -120,13 +120,13 @@
         assertEquals(Duration.ofMinutes(2), gaps.get(1));
         assertEquals(Duration.ofHours(6), gaps.get(9));
         authority.down = false;
-        keeper.tick();
+        keeper.renewIfDue();
         assertEquals(2, installed.size());
     }
 
     @Test
     void keysAreForTheirOwnerAloneAndAreNotPrinted() throws IOException {
-        keeper().tick();
+        keeper().renewIfDue();
         assertFalse(installed.get(0).toString().contains("PRIVATE"));
         try (Stream<Path> files = Files.list(folder.resolve("acme"))) {
             List<Path> all = files.toList();
@@ -143,7 +143,7 @@
     void aSpoiltFileIsReplaced() throws Exception {
         Files.createDirectories(folder.resolve("acme"));
         Files.writeString(folder.resolve("acme").resolve("certificate.pem"), "garbage");
-        keeper().tick();
+        keeper().renewIfDue();
         issuedAtLast();
         assertTrue(Files.readString(folder.resolve("acme").resolve("certificate.pem")).contains("BEGIN CERTIFICATE"));
     }
