--- a/src/test/java/wingspread/LayersTest.java
+++ b/src/test/java/wingspread/LayersTest.java
@@ -9,64 +9,70 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.junit.jupiter.api.Test;
 
-/** Packages point one way: forwarders and the lab on the core, the core on the module; decisions know no wire. */
+/**
+ * The dependencies between packages: the forwarders and the lab depend on the core, and the core on the call control.
+ * Code that takes decisions does not depend on sockets or protocols.
+ */
 class LayersTest {
-    private static final JavaClasses PROGRAM = new ClassFileImporter()
+    private static final JavaClasses MAIN_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("wingspread");
 
-    private static void holds(ArchRule rule) {
-        rule.check(PROGRAM);
+    private static void check(ArchRule rule) {
+        rule.check(MAIN_CLASSES);
     }
 
     @Test
-    void moduleStandsOnNothing() {
-        holds(classes().that().resideInAPackage("wingspread.control..")
+    void controlDependsOnNothing() {
+        check(classes().that().resideInAPackage("wingspread.control..")
                 .should().onlyDependOnClassesThat().resideInAnyPackage("wingspread.control..", "java.lang..",
                         "java.util.."));
     }
 
     @Test
-    void coreStandsOnTheModuleAlone() {
-        holds(classes().that().resideInAPackage("wingspread.core..")
+    void coreDependsOnlyOnControlAndUtilities() {
+        check(classes().that().resideInAPackage("wingspread.core..")
                 .should().onlyDependOnClassesThat().resideInAnyPackage("wingspread.core..", "wingspread.control..",
                         "wingspread.turn..", "wingspread.metrics..", "wingspread.storm..",
                         "org.slf4j..", "java.lang..", "java.util.."));
     }
 
     @Test
-    void stormsAreDecidedWithoutInputOrOutput() {
-        holds(classes().that().resideInAPackage("wingspread.storm..")
+    void stormUsesNoInputOrOutput() {
+        check(classes().that().resideInAPackage("wingspread.storm..")
                 .should().onlyDependOnClassesThat().resideInAnyPackage("wingspread.storm..", "java.lang..",
                         "java.util.."));
     }
 
     @Test
-    void socketsAreForwardersBusiness() {
-        holds(noClasses().that().resideInAnyPackage("wingspread.control..", "wingspread.core..", "wingspread.turn..",
+    void onlyForwardersUseSockets() {
+        check(noClasses().that().resideInAnyPackage("wingspread.control..", "wingspread.core..", "wingspread.turn..",
                 "wingspread.metrics..", "wingspread.sip..", "wingspread.lab..", "wingspread.wirehost..")
                 .should().dependOnClassesThat().resideInAnyPackage("io.netty.channel..", "io.netty.handler..",
                         "io.netty.bootstrap..", "java.net..", "java.nio.channels.."));
     }
 
     @Test
-    void nothingStandsOnFrontsButTheProgram() {
-        holds(noClasses().that().resideOutsideOfPackages("wingspread", "wingspread.front..")
+    void onlyTheProgramDependsOnFrontEnds() {
+        check(noClasses().that().resideOutsideOfPackages("wingspread", "wingspread.front..")
                 .should().dependOnClassesThat().resideInAPackage("wingspread.front.."));
     }
 
     @Test
-    void nothingInServiceKnowsTheLab() {
-        holds(noClasses().that().resideOutsideOfPackages("wingspread", "wingspread.cli..", "wingspread.lab..",
+    void productionCodeDoesNotDependOnTheLab() {
+        check(noClasses().that().resideOutsideOfPackages("wingspread", "wingspread.cli..", "wingspread.lab..",
                 "wingspread.testbed..")
                 .should().dependOnClassesThat().resideInAnyPackage("wingspread.lab..", "wingspread.cli..",
                         "wingspread.testbed..", "picocli..",
                         "org.HdrHistogram..", "org.apache.commons.."));
     }
 
-    /** What reads files of settings or packs recordings is opened only where a file switches something on. */
+    /**
+     * The libraries for settings files and recordings are loaded only if a file enables an optional feature, which
+     * keeps the start of {@code serve} short.
+     */
     @Test
-    void jacksonIsKeptOffTheCallsOfServe() {
-        holds(noClasses().that().resideOutsideOfPackages("wingspread.cli..", "wingspread.lab..", "wingspread.toml..",
+    void jacksonIsUsedOnlyForOptionalFeatures() {
+        check(noClasses().that().resideOutsideOfPackages("wingspread.cli..", "wingspread.lab..", "wingspread.toml..",
                 "wingspread.record..", "wingspread.testbed..")
                 .and().doNotHaveSimpleName("SipConfig").and().doNotHaveSimpleName("StormConfig")
                 .should().dependOnClassesThat().resideInAnyPackage("com.fasterxml.jackson..", "com.networknt.."));
--- a/src/test/java/wingspread/ServeTest.java
+++ b/src/test/java/wingspread/ServeTest.java
@@ -36,7 +36,7 @@
 import wingspread.record.Recording;
 import wingspread.testing.Wire;
 
-/** The whole program in a process of its own, between a stand-in caller and a stand-in exchange on the loopback. */
+/** Runs the program in a separate process, between a stand-in caller and a stand-in exchange on the loopback. */
 class ServeTest {
     private static final String SETTINGS = """
             {"az":0,"balancers":3,"rank":0,"discovery":"automatic","zones":["here"],"kinds":["std"],
@@ -47,12 +47,12 @@
                             "fall-multiple":2.0,"grace-to-answer":20000},
              "services":[{"name":"plain","aim":1500000,"deadline":9000000,"effect":"safe","group":"all","value":1.0}],
              "telemetry":{"fields":["idle","circuits","backlog","max_rate"],"via":"piggyback"}}""";
-    private static final String ID = "9b1f03aa5c7e2d41";
+    private static final String CALL_ID = "9b1f03aa5c7e2d41";
 
     @TempDir
     Path folder;
 
-    private final BlockingQueue<Wire<SipMessage>> accepted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Wire<SipMessage>> exchangeConnections = new LinkedBlockingQueue<>();
     private ServerSocket exchangeListener;
     private Wire<SipMessage> exchange;
     private Wire<Map<?, ?>> caller;
@@ -63,33 +63,33 @@
     @BeforeEach
     void start() throws Exception {
         exchangeListener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-        greetAll();
+        acceptExchangeConnections();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         config = folder.resolve("config.json");
         configure("127.0.0.1:1");
         process = serve(config.toString());
-        exchange = accept();
+        exchange = nextExchangeConnection();
         caller = connect();
-        asksUntil(caller, 1);
+        awaitTestResult(caller, 1);
     }
 
-    /** Writes the configuration, in which the directory has this address. */
-    private void configure(String names) throws IOException {
+    /** Writes a configuration with this address of the directory server. */
+    private void configure(String directoryAddress) throws IOException {
         Files.writeString(config, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\","
                 + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":64},\"settings\":" + SETTINGS
                 + ",\"known\":{\"rev\":1,\"notices\":[{\"rev\":1,\"pool\":{\"all\":true,\"targets\":["
                 + "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:" + exchangeListener.getLocalPort() + "\","
                 + "\"az\":\"here\",\"model\":\"std\",\"pod_group\":1,\"state\":\"up\",\"capacity_hint\":1,"
-                + "\"boot_ms\":0}]}}]},\"names\":\"" + names + "\"}");
+                + "\"boot_ms\":0}]}}]},\"names\":\"" + directoryAddress + "\"}");
     }
 
-    /** Tests the program until the test says this; the wire's patience bounds each one. */
-    private static void asksUntil(Wire<Map<?, ?>> wire, int wanted) throws IOException, BadInput {
+    /** Sends test messages until one is answered with this result; the read timeout bounds the wait for each answer. */
+    private static void awaitTestResult(Wire<Map<?, ?>> wire, int expected) throws IOException, BadInput {
         do {
             wire.send("{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n");
-        } while (((Double) wire.next().get("why")).intValue() != wanted);
+        } while (((Double) wire.next().get("why")).intValue() != expected);
     }
 
     private Process serve(String config) throws IOException {
@@ -100,18 +100,18 @@
         return builder.redirectErrorStream(true).start();
     }
 
-    /** Accepts and greets all connections to the exchange, as exchanges do, until the listener is closed. */
-    private void greetAll() {
+    /** Accepts connections to the exchange and sends a load report on each, as an exchange does. */
+    private void acceptExchangeConnections() {
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
                     Wire<SipMessage> connection = new Wire<>(exchangeListener.accept(), new SipDecoder());
                     connection.send(SipMessage.request("NOTIFY", "sip:group@net").with("X-Gauges",
                             "idle:15;circuits:20").encode());
-                    accepted.add(connection);
+                    exchangeConnections.add(connection);
                 }
             } catch (IOException e) {
-                // The listener is closed: the exchange takes no more connections.
+                // The listener is closed.
                 return;
             }
         }, "stand-in exchange");
@@ -119,21 +119,21 @@
         acceptor.start();
     }
 
-    /** The next connection to the exchange. */
-    private Wire<SipMessage> accept() throws InterruptedException {
-        Wire<SipMessage> next = accepted.poll(10, TimeUnit.SECONDS);
+    /** Waits for the next connection to the exchange. */
+    private Wire<SipMessage> nextExchangeConnection() throws InterruptedException {
+        Wire<SipMessage> next = exchangeConnections.poll(10, TimeUnit.SECONDS);
         assertNotNull(next, "no connection to the exchange");
         return next;
     }
 
-    /** Tries until the program listens; each refused connect is one try, ten seconds' worth at the most. */
+    /** Connects as a caller. Retries refused connects for up to ten seconds, until the program is listening. */
     private Wire<Map<?, ?>> connect() throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (true) {
             try {
                 return new Wire<>(new Socket(InetAddress.getLoopbackAddress(), port), new LineDecoder());
             } catch (IOException e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadline) {
                     throw e;
                 }
             }
@@ -152,7 +152,7 @@
                 + "\"key\":\"00FF\",\"extras\":\"dest:1;width:1;via:-1\"},\"desc\":\"v=0\\r\\n\u00e9\\u00e9\"}\n");
     }
 
-    private SipMessage heard(String method) throws IOException, BadInput {
+    private SipMessage expectRequest(String method) throws IOException, BadInput {
         SipMessage message = exchange.next();
         assertEquals(method, message.method());
         return message;
@@ -163,7 +163,7 @@
                 .withBody(new byte[] {'o', '=', 0x22, (byte) 0xc3, 0}).encode());
     }
 
-    private Map<?, ?> told(String op) throws IOException, BadInput {
+    private Map<?, ?> expectMessage(String op) throws IOException, BadInput {
         Map<?, ?> message = caller.next();
         assertEquals(op, message.get("op"), message::toString);
         return message;
@@ -174,265 +174,269 @@
                 .with("Reason", "Q.850;cause=" + cause);
     }
 
-    private void stands(String id) throws IOException, BadInput {
+    private void establishCall(String id) throws IOException, BadInput {
         offer(id);
-        answer(heard("INVITE"), 200);
-        heard("ACK");
-        told("accept");
+        answer(expectRequest("INVITE"), 200);
+        expectRequest("ACK");
+        expectMessage("accept");
     }
 
     @Test
-    void aCallPassesThroughByteForByteAndIsReleased() throws Exception {
-        offer(ID);
-        SipMessage invite = heard("INVITE");
+    void forwardsCallByteForByteAndReleasesIt() throws Exception {
+        offer(CALL_ID);
+        SipMessage invite = expectRequest("INVITE");
         assertEquals("sip:00FF@net", invite.uri());
-        assertEquals(ID, invite.callId());
+        assertEquals(CALL_ID, invite.callId());
         assertEquals("plain", invite.header("X-Tier"));
         assertTrue(SipMessage.number(invite.header("X-Deadline")) <= 1_500);
         assertArrayEquals(new byte[] {'v', '=', '0', '\r', '\n', (byte) 0xe9, (byte) 0xc3, (byte) 0xa9}, invite.body());
         answer(invite, 200);
-        heard("ACK");
-        assertEquals("o=\"\u00c3\0", told("accept").get("desc"));
-        exchange.send(bye(ID, 16).encode());
+        expectRequest("ACK");
+        assertEquals("o=\"\u00c3\0", expectMessage("accept").get("desc"));
+        exchange.send(bye(CALL_ID, 16).encode());
         assertEquals(200, exchange.next().status());
-        assertEquals(16.0, told("end").get("why"));
+        assertEquals(16.0, expectMessage("end").get("why"));
     }
 
     @Test
-    void aSuccessThatCrossesTheCancelIsAcknowledgedAndReleased() throws Exception {
-        offer(ID);
-        SipMessage invite = heard("INVITE");
-        caller.send("{\"op\":\"end\",\"call\":\"" + ID + "\",\"with\":{},\"why\":16}\n");
-        heard("CANCEL");
-        assertEquals(16.0, told("end").get("why"));
+    void acknowledgesAndReleasesSuccessThatCrossesCancel() throws Exception {
+        offer(CALL_ID);
+        SipMessage invite = expectRequest("INVITE");
+        caller.send("{\"op\":\"end\",\"call\":\"" + CALL_ID + "\",\"with\":{},\"why\":16}\n");
+        expectRequest("CANCEL");
+        assertEquals(16.0, expectMessage("end").get("why"));
         answer(invite, 200);
-        heard("ACK");
-        assertEquals(ID, heard("BYE").callId());
+        expectRequest("ACK");
+        assertEquals(CALL_ID, expectRequest("BYE").callId());
     }
 
     @Test
-    void aStandingCallOutlivesItsConnectionsOnBothSides() throws Exception {
-        stands(ID);
+    void establishedCallSurvivesLossOfConnectionsOnBothSides() throws Exception {
+        establishCall(CALL_ID);
         caller.close();
         caller = connect();
         exchange.close();
-        exchange = accept();
+        exchange = nextExchangeConnection();
         offer("b".repeat(16));
-        heard("INVITE");
-        exchange.send(bye(ID, 16).encode());
-        assertEquals(ID, told("end").get("call"));
+        expectRequest("INVITE");
+        exchange.send(bye(CALL_ID, 16).encode());
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
     }
 
     @Test
-    void aLostConnectionGivesUpAllSetUpsOpenOnIt() throws Exception {
+    void failsAllPendingSetUpsOfLostExchangeConnection() throws Exception {
         offer("a".repeat(16));
         offer("b".repeat(16));
-        heard("INVITE");
-        heard("INVITE");
+        expectRequest("INVITE");
+        expectRequest("INVITE");
         exchangeListener.close();
         exchange.reset();
-        assertEquals(42.0, told("end").get("why"));
-        assertEquals(42.0, told("end").get("why"));
+        assertEquals(42.0, expectMessage("end").get("why"));
+        assertEquals(42.0, expectMessage("end").get("why"));
     }
 
     @Test
-    void aDeadProcessCutsItsStandingCalls() throws Exception {
-        stands(ID);
+    void releasesEstablishedCallsOfCrashedExchange() throws Exception {
+        establishCall(CALL_ID);
         exchangeListener.close();
         exchange.reset();
-        assertEquals(41.0, told("end").get("why"));
+        assertEquals(41.0, expectMessage("end").get("why"));
     }
 
     @Test
-    void anIdThatIsOpenIsTurnedAwayAndItsCallGoesOn() throws Exception {
-        stands(ID);
-        Wire<Map<?, ?>> usual = caller;
-        try (Wire<Map<?, ?>> rude = connect()) {
-            caller = rude;
-            offer(ID);
-            assertEquals(41.0, told("end").get("why"));
+    void rejectsDuplicateCallIdAndKeepsOriginalCall() throws Exception {
+        establishCall(CALL_ID);
+        Wire<Map<?, ?>> originalCaller = caller;
+        try (Wire<Map<?, ?>> misbehavingCaller = connect()) {
+            caller = misbehavingCaller;
+            offer(CALL_ID);
+            assertEquals(41.0, expectMessage("end").get("why"));
             offer("b".repeat(16));
-            assertEquals("b".repeat(16), heard("INVITE").callId());
+            assertEquals("b".repeat(16), expectRequest("INVITE").callId());
             offer("b".repeat(16));
-            assertTrue(rude.closed());
+            assertTrue(misbehavingCaller.closed());
         }
-        assertEquals("b".repeat(16), heard("CANCEL").callId());
-        caller = usual;
-        exchange.send(bye(ID, 16).encode());
+        assertEquals("b".repeat(16), expectRequest("CANCEL").callId());
+        caller = originalCaller;
+        exchange.send(bye(CALL_ID, 16).encode());
         assertEquals(200, exchange.next().status());
-        assertEquals(ID, told("end").get("call"));
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
     }
 
     @Test
-    void badInputEndsItsConnectionAndNothingElse() throws Exception {
-        for (String bad : List.of("nonsense\n", "{\"op\":\"unheard-of\",\"call\":\"1\"}\n", "x".repeat(17_000))) {
-            try (Wire<Map<?, ?>> rude = connect()) {
-                rude.send(bad);
-                assertTrue(rude.closed());
+    void closesOnlyTheConnectionThatSentInvalidInput() throws Exception {
+        for (String malformed : List.of(
+                "nonsense\n", "{\"op\":\"unheard-of\",\"call\":\"1\"}\n", "x".repeat(17_000))) {
+            try (Wire<Map<?, ?>> misbehavingCaller = connect()) {
+                misbehavingCaller.send(malformed);
+                assertTrue(misbehavingCaller.closed());
             }
         }
         caller.send("{\"op\":\"offer\",\"call\":\"" + "c".repeat(16) + "\",\"with\":{}}\n");
-        assertEquals(100.0, told("end").get("why"));
+        assertEquals(100.0, expectMessage("end").get("why"));
         for (String extras : List.of("dest:NaN;width:1", "dest:1;width:-1", "width:1")) {
             caller.send("{\"op\":\"offer\",\"call\":\"" + "e".repeat(16) + "\",\"with\":{\"class\":\"plain\","
                     + "\"left\":\"1500\",\"extras\":\"" + extras + "\"},\"desc\":\"\"}\n");
-            assertEquals(100.0, told("end").get("why"));
+            assertEquals(100.0, expectMessage("end").get("why"));
         }
         caller.send("{\"op\":\"end\",\"call\":\"unknown\",\"with\":{},\"why\":16}\n");
         exchange.send("SIP/2.0 nonsense\r\n\r\n");
-        exchange = accept();
-        stands(ID);
+        exchange = nextExchangeConnection();
+        establishCall(CALL_ID);
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         Process kill = new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start();
         assertEquals(0, kill.waitFor());
     }
 
     @Test
-    void aReloadMovesTheDirectoryAndAnUnreadableFileMovesNothing() throws Exception {
-        stands(ID);
+    void reloadSwitchesDirectoryServerAndIgnoresInvalidFile() throws Exception {
+        establishCall(CALL_ID);
         try (DatagramSocket directory = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             directory.setSoTimeout(10_000);
             configure("127.0.0.1:" + directory.getLocalPort());
-            hangUp();
+            sendSighup();
             directory.receive(new DatagramPacket(new byte[512], 512));
             Files.writeString(config, "{\"name\":");
-            hangUp();
+            sendSighup();
             directory.receive(new DatagramPacket(new byte[512], 512));
         }
-        exchange.send(bye(ID, 16).encode());
+        exchange.send(bye(CALL_ID, 16).encode());
         assertEquals(200, exchange.next().status());
-        assertEquals(ID, told("end").get("call"));
-        stands("f".repeat(16));
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
+        establishCall("f".repeat(16));
         process.toHandle().destroy();
         assertTrue(new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                 .contains("the old settings stay: " + config));
     }
 
     @Test
-    void sigtermFinishesAndTheNextProgramTellsOfTheCallsThatStandOn() throws Exception {
-        stands(ID);
+    void restartedProcessReportsReleaseOfCallEstablishedBeforeSigterm() throws Exception {
+        establishCall(CALL_ID);
         offer("d".repeat(16));
-        SipMessage invite = heard("INVITE");
+        SipMessage invite = expectRequest("INVITE");
         process.toHandle().destroy();
-        try (Wire<Map<?, ?>> late = connect()) {
-            asksUntil(late, 0);
+        try (Wire<Map<?, ?>> lateCaller = connect()) {
+            awaitTestResult(lateCaller, 0);
         }
         answer(invite, 200);
-        heard("ACK");
-        told("accept");
+        expectRequest("ACK");
+        expectMessage("accept");
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertTrue(exchange.closed());
         assertTrue(caller.closed());
         assertEquals(0, process.exitValue());
         assertTrue(new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                 .contains("answered.stood=2"));
-        // What the one before has opened last.
-        accepted.clear();
+        // Discards connections that the previous process opened last.
+        exchangeConnections.clear();
         process = serve(config.toString());
-        exchange = accept();
-        exchange.send(bye(ID, 16).encode());
+        exchange = nextExchangeConnection();
+        exchange.send(bye(CALL_ID, 16).encode());
         assertEquals(200, exchange.next().status());
         caller = connect();
         offer("e".repeat(16));
-        assertEquals(ID, told("end").get("call"));
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
     }
 
-    /** A release of a call from before a restart goes to a caller that is just closing: another one is told. */
+    /**
+     * The release of a call from before a restart is sent to any connected caller. If that caller closes its connection
+     * at the same time, the release has to be sent again to another one.
+     */
     @Test
-    void aReleaseThatCrossesTheCloseOfAnothersConnectionIsToldAgain() throws Exception {
+    void repeatsReleaseToAnotherCallerIfFirstOneCloses() throws Exception {
         offer("a".repeat(16));
-        answer(heard("INVITE"), 503);
-        heard("ACK");
-        told("end");
+        answer(expectRequest("INVITE"), 503);
+        expectRequest("ACK");
+        expectMessage("end");
         try (Wire<Map<?, ?>> leaving = connect()) {
             Wire<Map<?, ?>> staying = caller;
             caller = leaving;
             offer("b".repeat(16));
-            answer(heard("INVITE"), 503);
-            heard("ACK");
-            told("end");
-            exchange.send(bye(ID, 16).encode());
+            answer(expectRequest("INVITE"), 503);
+            expectRequest("ACK");
+            expectMessage("end");
+            exchange.send(bye(CALL_ID, 16).encode());
             assertEquals(200, exchange.next().status());
-            assertEquals(ID, told("end").get("call"));
+            assertEquals(CALL_ID, expectMessage("end").get("call"));
             leaving.reset();
             caller = staying;
         }
-        assertEquals(ID, told("end").get("call"));
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
     }
 
     @Test
-    void afterSigtermACallIsAnsweredBeforeSigkillWhateverTimeItsCallerLeaves() throws Exception {
+    void answersCallAfterSigtermBeforeSigkillWhateverItsDeadline() throws Exception {
         process.toHandle().destroy();
-        try (Wire<Map<?, ?>> late = connect()) {
-            asksUntil(late, 0);
+        try (Wire<Map<?, ?>> lateCaller = connect()) {
+            awaitTestResult(lateCaller, 0);
         }
-        // Neither a second SIGTERM nor a reload changes what is owed, nor does a call that comes in pieces.
+        // Neither a second SIGTERM, nor a reload, nor a call that arrives in two segments changes the pending answer.
         process.toHandle().destroy();
-        hangUp();
-        caller.send("{\"op\":\"offer\",\"call\":\"" + ID + "\",\"with\":{\"class\":\"plain\",");
+        sendSighup();
+        caller.send("{\"op\":\"offer\",\"call\":\"" + CALL_ID + "\",\"with\":{\"class\":\"plain\",");
         caller.send("\"left\":\"60000\",\"key\":\"00FF\",\"extras\":\"dest:1;width:1;via:2;transit:1\"},"
                 + "\"desc\":\"\"}\n");
-        heard("INVITE");
-        assertEquals(ID, told("end").get("call"));
+        expectRequest("INVITE");
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
         assertTrue(caller.closed());
-        assertEquals(ID, heard("CANCEL").callId());
+        assertEquals(CALL_ID, expectRequest("CANCEL").callId());
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    /** Says something on each connection to the exchange that is still there. */
-    private void sayOnAll(SipMessage message) throws IOException {
-        List<Wire<SipMessage>> connections = new ArrayList<>(accepted);
+    /** Sends a message on each connection to the exchange that is still open. */
+    private void sendOnAllConnections(SipMessage message) throws IOException {
+        List<Wire<SipMessage>> connections = new ArrayList<>(exchangeConnections);
         connections.add(exchange);
-        int said = 0;
+        int sent = 0;
         for (Wire<SipMessage> connection : connections) {
             try {
                 connection.send(message.encode());
-                said++;
+                sent++;
             } catch (SocketException e) {
-                // The program has closed this one.
+                // The program has closed this connection.
                 continue;
             }
         }
-        assertTrue(said > 0, "no connection to the exchange is left");
+        assertTrue(sent > 0, "no connection to the exchange is left");
     }
 
     @Test
-    void aConnectionWhoseCallStandsStaysOverTheDrainUntilTheEndIsToldAndTakesNoNewCall() throws Exception {
-        stands(ID);
+    void keepsConnectionOfEstablishedCallDuringDrainAndRefusesNewCalls() throws Exception {
+        establishCall(CALL_ID);
         try (Wire<Map<?, ?>> unused = connect()) {
-            asksUntil(unused, 1);
+            awaitTestResult(unused, 1);
             process.toHandle().destroy();
             assertTrue(unused.closed());
         }
         offer("b".repeat(16));
-        Map<?, ?> refusal = told("end");
+        Map<?, ?> refusal = expectMessage("end");
         assertEquals("b".repeat(16), refusal.get("call"));
         assertEquals(42.0, refusal.get("why"));
-        sayOnAll(bye(ID, 16));
-        assertEquals(ID, told("end").get("call"));
+        sendOnAllConnections(bye(CALL_ID, 16));
+        assertEquals(CALL_ID, expectMessage("end").get("call"));
         assertTrue(caller.closed());
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
     @Test
-    void callsAreRecordedWhereTheFileUnderDeploySaysSo() throws Exception {
+    void recordsCallsIfEnabledByDeployFile() throws Exception {
         process.destroyForcibly().waitFor();
         Files.createDirectory(folder.resolve("deploy"));
         Files.writeString(folder.resolve("deploy/record.toml"), Files.readString(Path.of("deploy/record.toml"))
                 .replace("enabled = false", "enabled = true"));
-        accepted.clear();
+        exchangeConnections.clear();
         process = serve(config.toString());
-        exchange = accept();
+        exchange = nextExchangeConnection();
         caller = connect();
-        asksUntil(caller, 1);
-        offer(ID);
-        answer(heard("INVITE"), 503);
-        heard("ACK");
-        told("end");
+        awaitTestResult(caller, 1);
+        offer(CALL_ID);
+        answer(expectRequest("INVITE"), 503);
+        expectRequest("ACK");
+        expectMessage("end");
         process.destroy();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
         try (Stream<Path> files = Files.list(folder)) {
@@ -447,10 +451,10 @@
     }
 
     @Test
-    void aBadConfigurationIsOneLineAndANonZeroExit() throws Exception {
-        Path bad = folder.resolve("bad.json");
-        Files.writeString(bad, "{\"name\":");
-        Process failing = serve(bad.toString());
+    void reportsInvalidConfigurationInOneLineAndExitsNonZero() throws Exception {
+        Path malformed = folder.resolve("bad.json");
+        Files.writeString(malformed, "{\"name\":");
+        Process failing = serve(malformed.toString());
         try (BufferedReader out = new BufferedReader(new InputStreamReader(failing.getInputStream(),
                 StandardCharsets.UTF_8))) {
             List<String> lines = out.lines().toList();
--- a/src/test/java/wingspread/SipServiceTest.java
+++ b/src/test/java/wingspread/SipServiceTest.java
@@ -41,7 +41,7 @@
 import wingspread.storm.ReconnectFigures;
 import wingspread.net.UnixClock;
 
-/** TLS on the SIP front, and a change of its certificate while a connection is open. */
+/** TLS of the SIP front end, and the replacement of its certificate while a connection is open. */
 class SipServiceTest {
     private static final CallClass PLAIN = new CallClass("plain", 1, 9_000_000, 1, 0, 1, 0, Effect.SAFE,
             RepeatGroup.ALL, 0, List.of());
@@ -61,12 +61,12 @@
         context.init(null, new TrustManager[] {new X509TrustManager() {
             @Override
             public void checkClientTrusted(X509Certificate[] chain, String type) {
-                // Not asked on this side.
+                // Not called on the client side.
             }
 
             @Override
             public void checkServerTrusted(X509Certificate[] chain, String type) {
-                // The test looks at the certificate itself.
+                // The test checks the certificate itself.
             }
 
             @Override
@@ -80,18 +80,19 @@
         return socket;
     }
 
+    /** Sends an OPTIONS request and returns the status line of its response. */
     private static String options(SSLSocket socket, int branch) throws IOException {
         socket.getOutputStream().write(("OPTIONS sip:ping@net SIP/2.0\r\nVia: SIP/2.0/TLS 127.0.0.1:9;branch=z9hG4bK"
                 + branch + "\r\nFrom: <sip:a@net>;tag=1\r\nTo: <sip:b@net>\r\nCall-ID: c" + branch
                 + "\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
         BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
                 StandardCharsets.ISO_8859_1));
-        String first = in.readLine();
-        String line = first;
+        String statusLine = in.readLine();
+        String line = statusLine;
         while (!line.isEmpty()) {
             line = in.readLine();
         }
-        return first;
+        return statusLine;
     }
 
     private static String subject(SSLSocket socket) throws IOException {
@@ -99,33 +100,33 @@
     }
 
     @Test
-    void aNewCertificateServesNewConnectionsAndDropsNone() throws Exception {
+    void newCertificateAppliesToNewConnectionsAndKeepsOpenOnes() throws Exception {
         InetSocketAddress address;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            address = (InetSocketAddress) free.getLocalSocketAddress();
+        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            address = (InetSocketAddress) probe.getLocalSocketAddress();
         }
         Loop loop = new Loop(new UnixClock());
         Metrics metrics = new Metrics();
         SipService service = new SipService(loop, new SipConfig(null, null, address, "", Map.of("", 1),
                 new SipConfig.Acme("http://127.0.0.1:1/", "sip.test", "", address, Path.of("unused"))),
                 List.of(PLAIN), 7, ReconnectFigures.USUAL, event -> { }, metrics);
-        secure(loop, service, certificate("first"));
-        try (SSLSocket old = connect(address)) {
-            assertEquals("SIP/2.0 200 OK", options(old, 1));
-            secure(loop, service, certificate("second"));
-            assertEquals("SIP/2.0 200 OK", options(old, 2));
-            assertEquals("CN=first", subject(old));
-            try (SSLSocket fresh = connect(address)) {
-                assertEquals("SIP/2.0 200 OK", options(fresh, 3));
-                assertEquals("CN=second", subject(fresh));
+        useCertificate(loop, service, certificate("first"));
+        try (SSLSocket openConnection = connect(address)) {
+            assertEquals("SIP/2.0 200 OK", options(openConnection, 1));
+            useCertificate(loop, service, certificate("second"));
+            assertEquals("SIP/2.0 200 OK", options(openConnection, 2));
+            assertEquals("CN=first", subject(openConnection));
+            try (SSLSocket newConnection = connect(address)) {
+                assertEquals("SIP/2.0 200 OK", options(newConnection, 3));
+                assertEquals("CN=second", subject(newConnection));
             }
-            try (Socket rude = new Socket(address.getAddress(), address.getPort())) {
-                rude.setSoTimeout(10_000);
-                rude.getOutputStream().write("OPTIONS sip:no-tls@net SIP/2.0\r\n\r\n".getBytes(
+            try (Socket plainTextConnection = new Socket(address.getAddress(), address.getPort())) {
+                plainTextConnection.setSoTimeout(10_000);
+                plainTextConnection.getOutputStream().write("OPTIONS sip:no-tls@net SIP/2.0\r\n\r\n".getBytes(
                         StandardCharsets.ISO_8859_1));
-                rude.getInputStream().readAllBytes();
+                plainTextConnection.getInputStream().readAllBytes();
             }
-            assertEquals("SIP/2.0 200 OK", options(old, 4));
+            assertEquals("SIP/2.0 200 OK", options(openConnection, 4));
             assertEquals("2 of 3", CompletableFuture.supplyAsync(() -> metrics.value("taken.handshakes") + " of "
                     + metrics.value("taken.connections"), loop::execute).get(10, TimeUnit.SECONDS));
         } finally {
@@ -134,8 +135,8 @@
         }
     }
 
-    /** Binding happens on the loop too, so that it is done when this returns. */
-    private static void secure(Loop loop, SipService service, IssuedCertificate issued) throws Exception {
+    /** Passes a certificate to the service and waits for the event loop, which also binds the socket. */
+    private static void useCertificate(Loop loop, SipService service, IssuedCertificate issued) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.execute(() -> {
             service.useCertificate(issued);
--- a/src/test/java/wingspread/acme/CertificateManagerTest.java
+++ b/src/test/java/wingspread/acme/CertificateManagerTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import wingspread.config.SipConfig;
 
-/** Obtaining and renewing against the stand-in authority, on a clock that the test moves. */
+/** Ordering and renewing certificates from a stand-in authority, with a clock that the test sets. */
 class CertificateManagerTest {
-    private static final Duration LIFE = Duration.ofDays(90);
+    private static final Duration LIFETIME = Duration.ofDays(90);
 
     @TempDir
     Path folder;
@@ -39,7 +39,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             http = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        authority = new StandInAuthority(() -> now, LIFE, http.getPort());
+        authority = new StandInAuthority(() -> now, LIFETIME, http.getPort());
     }
 
     @AfterEach
@@ -47,86 +47,86 @@
         authority.close();
     }
 
-    private CertificateManager keeper() {
+    private CertificateManager manager() {
         CertificateStore store = new CertificateStore(folder.resolve("acme"));
         return new CertificateManager(new AcmeAuthority(new SipConfig.Acme(authority.url("/directory"), "sip.test",
                 "", http, folder), store, () -> now, time -> now = time), store, () -> now, installed::add);
     }
 
-    private void issuedAtLast() throws Exception {
+    private void assertLastIsIssuedByAuthority() throws Exception {
         installed.get(installed.size() - 1).chain().get(0).verify(authority.rootKey());
     }
 
     @Test
-    void aCertificateIsOrderedAndRenewedWithAThirdOfItsLifeLeft() throws Exception {
-        CertificateManager keeper = keeper();
+    void ordersCertificateAndRenewsItWithThirdOfLifetimeLeft() throws Exception {
+        CertificateManager manager = manager();
         Instant ordered = now;
-        assertEquals(ordered.plus(LIFE.dividedBy(3).multipliedBy(2)), keeper.renewIfDue());
-        assertEquals(List.of("order", "challenge met", "finalize"), authority.done);
-        issuedAtLast();
+        assertEquals(ordered.plus(LIFETIME.dividedBy(3).multipliedBy(2)), manager.renewIfDue());
+        assertEquals(List.of("order", "challenge passed", "finalize"), authority.actions);
+        assertLastIsIssuedByAuthority();
         now = ordered.plus(Duration.ofDays(59));
-        keeper.renewIfDue();
+        manager.renewIfDue();
         assertEquals(1, installed.size());
         now = ordered.plus(Duration.ofDays(61));
-        keeper.renewIfDue();
+        manager.renewIfDue();
         assertEquals(2, installed.size());
-        issuedAtLast();
+        assertLastIsIssuedByAuthority();
     }
 
     @Test
-    void aRestartUsesTheSavedCertificateAndOrdersNone() {
-        keeper().renewIfDue();
-        keeper().renewIfDue();
+    void usesSavedCertificateAfterRestart() {
+        manager().renewIfDue();
+        manager().renewIfDue();
         assertEquals(2, installed.size());
         assertEquals(installed.get(0), installed.get(1));
-        assertEquals(1, authority.done.stream().filter("order"::equals).count());
+        assertEquals(1, authority.actions.stream().filter("order"::equals).count());
     }
 
     @Test
-    void aBadNonceIsTriedAgainWithAFreshOne() throws Exception {
+    void retriesRejectedNonceWithNewOne() throws Exception {
         authority.badNonces = 2;
-        keeper().renewIfDue();
-        assertEquals(2, authority.done.stream().filter("bad nonce"::equals).count());
-        issuedAtLast();
+        manager().renewIfDue();
+        assertEquals(2, authority.actions.stream().filter("bad nonce"::equals).count());
+        assertLastIsIssuedByAuthority();
     }
 
     @Test
-    void aRefusedChallengeInstallsNothingAndIsTriedAgainLater() {
+    void installsNothingAfterFailedChallengeAndRetriesLater() {
         authority.refuseChallenge = true;
-        CertificateManager keeper = keeper();
-        Instant next = keeper.renewIfDue();
+        CertificateManager manager = manager();
+        Instant next = manager.renewIfDue();
         assertEquals(0, installed.size());
         assertEquals(now.plus(Duration.ofMinutes(1)), next);
-        keeper.renewIfDue();
-        assertEquals(1, authority.done.stream().filter("order"::equals).count());
+        manager.renewIfDue();
+        assertEquals(1, authority.actions.stream().filter("order"::equals).count());
         authority.refuseChallenge = false;
         now = next;
-        keeper.renewIfDue();
+        manager.renewIfDue();
         assertEquals(1, installed.size());
     }
 
     @Test
-    void whileTheAuthorityIsDownTheOldCertificateStaysAndTriesGrowRarer() {
-        CertificateManager keeper = keeper();
-        now = keeper.renewIfDue();
+    void keepsCertificateAndBacksOffWhileAuthorityIsDown() {
+        CertificateManager manager = manager();
+        now = manager.renewIfDue();
         authority.down = true;
-        List<Duration> gaps = new ArrayList<>();
+        List<Duration> delays = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            Instant next = keeper.renewIfDue();
-            gaps.add(Duration.between(now, next));
+            Instant next = manager.renewIfDue();
+            delays.add(Duration.between(now, next));
             now = next;
         }
         assertEquals(1, installed.size());
-        assertEquals(Duration.ofMinutes(2), gaps.get(1));
-        assertEquals(Duration.ofHours(6), gaps.get(9));
+        assertEquals(Duration.ofMinutes(2), delays.get(1));
+        assertEquals(Duration.ofHours(6), delays.get(9));
         authority.down = false;
-        keeper.renewIfDue();
+        manager.renewIfDue();
         assertEquals(2, installed.size());
     }
 
     @Test
-    void keysAreForTheirOwnerAloneAndAreNotPrinted() throws IOException {
-        keeper().renewIfDue();
+    void keysAreReadableOnlyByOwnerAndNotPrinted() throws IOException {
+        manager().renewIfDue();
         assertFalse(installed.get(0).toString().contains("PRIVATE"));
         try (Stream<Path> files = Files.list(folder.resolve("acme"))) {
             List<Path> all = files.toList();
@@ -140,11 +140,11 @@
     }
 
     @Test
-    void aSpoiltFileIsReplaced() throws Exception {
+    void replacesCorruptFile() throws Exception {
         Files.createDirectories(folder.resolve("acme"));
         Files.writeString(folder.resolve("acme").resolve("certificate.pem"), "garbage");
-        keeper().renewIfDue();
-        issuedAtLast();
+        manager().renewIfDue();
+        assertLastIsIssuedByAuthority();
         assertTrue(Files.readString(folder.resolve("acme").resolve("certificate.pem")).contains("BEGIN CERTIFICATE"));
     }
 }
--- a/src/test/java/wingspread/acme/StandInAuthority.java
+++ b/src/test/java/wingspread/acme/StandInAuthority.java
@@ -38,11 +38,14 @@
 import wingspread.json.Json;
 import wingspread.net.BadInput;
 
-/** An authority of RFC 8555 for one order at a time, on the loopback; it checks signatures, nonces and http-01. */
+/**
+ * A certificate authority for tests (RFC 8555), on the loopback interface. It handles one order at a time, and checks
+ * signatures, nonces and the http-01 challenge.
+ */
 final class StandInAuthority implements Closeable {
     private final HttpServer server;
     private final InstantSource clock;
-    private final Duration life;
+    private final Duration lifetime;
     private final int challengePort;
     private final KeyPair root = CertificateStore.newKey();
     private final Set<String> nonces = new HashSet<>();
@@ -51,15 +54,18 @@
     private String chain;
     private String orderStatus = "pending";
     private String authorization = "pending";
-    /** What it did, and what it is to do wrong. */
-    final List<String> done = new ArrayList<>();
+    /** The actions performed so far. */
+    final List<String> actions = new ArrayList<>();
+    /** The number of further requests whose nonce is rejected. */
     int badNonces;
+    /** Whether challenges fail validation. */
     boolean refuseChallenge;
+    /** Whether every request is answered with an error. */
     boolean down;
 
-    StandInAuthority(InstantSource clock, Duration life, int challengePort) throws IOException {
+    StandInAuthority(InstantSource clock, Duration lifetime, int challengePort) throws IOException {
         this.clock = clock;
-        this.life = life;
+        this.lifetime = lifetime;
         this.challengePort = challengePort;
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", this::handle);
@@ -112,7 +118,7 @@
         jws.setKey(account.getKey());
         if (!jws.verifySignature() || !nonces.remove(jws.getHeader("nonce")) || badNonces > 0) {
             badNonces--;
-            done.add("bad nonce");
+            actions.add("bad nonce");
             problem(exchange, 400, "badNonce");
             return;
         }
@@ -123,7 +129,7 @@
                 reply(exchange, 201, "{\"status\":\"valid\"}");
             }
             case "/order" -> {
-                done.add("order");
+                actions.add("order");
                 orderStatus = "pending";
                 authorization = "pending";
                 exchange.getResponseHeaders().set("Location", url("/order/1"));
@@ -136,7 +142,7 @@
                 reply(exchange, 200, challenge());
             }
             case "/finalize" -> {
-                done.add("finalize");
+                actions.add("finalize");
                 issue((String) ((Map<?, ?>) Json.parse(payload.getBytes(StandardCharsets.UTF_8))).get("csr"));
                 orderStatus = "valid";
                 reply(exchange, 200, order());
@@ -161,17 +167,17 @@
         return out.append('}').toString();
     }
 
-    /** Fetches the key authorization as the challenge has it, and compares it with the account's thumbprint. */
+    /** Fetches the key authorization of the challenge and compares it with the thumbprint of the account key. */
     private void validate() throws IOException, InterruptedException, ReflectiveOperationException, JoseException {
-        HttpResponse<String> got = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
+        HttpResponse<String> response = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
                 "http://127.0.0.1:" + challengePort + "/.well-known/acme-challenge/token1")).build(),
                 HttpResponse.BodyHandlers.ofString());
         String thumbprint = account.calculateBase64urlEncodedThumbprint("SHA-256");
-        boolean right = got.statusCode() == 200 && MessageDigest.isEqual(
-                got.body().getBytes(StandardCharsets.US_ASCII),
+        boolean matches = response.statusCode() == 200 && MessageDigest.isEqual(
+                response.body().getBytes(StandardCharsets.US_ASCII),
                 ("token1." + thumbprint).getBytes(StandardCharsets.US_ASCII));
-        done.add(right ? "challenge met" : "challenge missed");
-        authorization = right && !refuseChallenge ? "valid" : "invalid";
+        actions.add(matches ? "challenge passed" : "challenge failed");
+        authorization = matches && !refuseChallenge ? "valid" : "invalid";
         orderStatus = authorization.equals("valid") ? "ready" : "invalid";
     }
 
@@ -180,7 +186,7 @@
             PKCS10CertificationRequest request = new PKCS10CertificationRequest(Base64.getUrlDecoder().decode(csr));
             Instant now = clock.instant();
             X509CertificateHolder certificate = new X509v3CertificateBuilder(new X500Name("CN=stand-in"),
-                    BigInteger.valueOf(now.toEpochMilli()), Date.from(now), Date.from(now.plus(life)),
+                    BigInteger.valueOf(now.toEpochMilli()), Date.from(now), Date.from(now.plus(lifetime)),
                     new X500Name("CN=sip.test"), request.getSubjectPublicKeyInfo())
                     .build(new JcaContentSignerBuilder("SHA256withECDSA").build(root.getPrivate()));
             StringWriter text = new StringWriter();
--- a/src/test/java/wingspread/config/ConfigTest.java
+++ b/src/test/java/wingspread/config/ConfigTest.java
@@ -25,13 +25,13 @@
     }
 
     @Test
-    void theFrontIsOffAsDeliveredAndWithoutAFile() {
+    void isDisabledByDeliveredFileAndWithoutFile() {
         assertNull(SipConfig.read(Path.of("deploy/sip.toml")));
         assertNull(SipConfig.read(folder.resolve("none")));
     }
 
     @Test
-    void theFileNamesAddressesRoutesAndTheAuthority() throws IOException {
+    void readsAddressesRoutesAndAuthority() throws IOException {
         SipConfig config = read("""
                 # a comment
                 enabled = true
@@ -54,19 +54,19 @@
     }
 
     @Test
-    void whatCannotBeUnderstoodIsNamed() {
-        for (String bad : List.of("enabled", "enabled = yes",
+    void rejectsInvalidFileWithOneLineMessage() {
+        for (String invalidText : List.of("enabled", "enabled = yes",
                 "enabled = true\nudp = \"5060\"", "enabled = true\nudp = \"a:99999\"",
                 "enabled = true\ntls = \"127.0.0.1:1\"",
                 "enabled = true\nudp = \"x", "enabled = true\nudb = \"\"", "enabled = true\n[routes]\n1 = x",
                 "enabled = true\n[acme]\ndirectory = \"http://x\"")) {
-            ConfigException e = assertThrows(ConfigException.class, () -> read(bad), bad);
+            ConfigException e = assertThrows(ConfigException.class, () -> read(invalidText), invalidText);
             assertEquals(1, e.getMessage().lines().count());
         }
     }
 
     @Test
-    void nestedSettingsBecomeTheSimulatorsPaths() {
+    void flattensNestedSettingsToPaths() {
         Map<String, String> pairs = new HashMap<>();
         NodeConfig.flatten("", Map.of("a", Map.of("b", List.of(1.0, 2.0)), "c", List.of(Map.of("n", "x")), "d", true),
                 pairs);
--- a/src/test/java/wingspread/config/StormConfigTest.java
+++ b/src/test/java/wingspread/config/StormConfigTest.java
@@ -25,31 +25,31 @@
     }
 
     @Test
-    void stormsAreOffAsDeliveredAndWithoutAFile() {
+    void isDisabledByDeliveredFileAndWithoutFile() {
         assertNull(StormConfig.read(Path.of("deploy/storm.toml")));
         assertNull(StormConfig.read(folder.resolve("none")));
     }
 
-    /** The shipped file says what is taken where it says nothing. */
+    /** The values in the delivered file are the defaults of settings that are not given. */
     @Test
-    void theShippedFileTurnedOnHasTheUsualFigures() throws IOException {
-        StormConfig usual = new StormConfig(StormFigures.USUAL, ReconnectFigures.USUAL);
-        assertEquals(usual, read(Files.readString(Path.of("deploy/storm.toml")).replace("enabled = false",
+    void deliveredFileContainsTheDefaults() throws IOException {
+        StormConfig defaults = new StormConfig(StormFigures.USUAL, ReconnectFigures.USUAL);
+        assertEquals(defaults, read(Files.readString(Path.of("deploy/storm.toml")).replace("enabled = false",
                 "enabled = true")));
-        assertEquals(usual, read("enabled = true"));
-        assertEquals(usual, StormConfig.named("usual"));
+        assertEquals(defaults, read("enabled = true"));
+        assertEquals(defaults, StormConfig.named("usual"));
     }
 
     @Test
-    void aFileThatIsOffIsTurnedOnWithItsFiguresAndABadOneIsNot() throws IOException {
-        Path off = Files.writeString(folder.resolve("off.toml"), "enabled = false\ndamping.ramp = \"7s\"\n");
-        assertEquals(7_000_000, read(StormConfig.turnedOn(off.toString())).storm().damping().ramp());
+    void enablesDisabledFileAndRejectsInvalidOne() throws IOException {
+        Path disabledFile = Files.writeString(folder.resolve("off.toml"), "enabled = false\ndamping.ramp = \"7s\"\n");
+        assertEquals(7_000_000, read(StormConfig.turnedOn(disabledFile.toString())).storm().damping().ramp());
         assertEquals(StormFigures.USUAL, read(StormConfig.turnedOn("usual")).storm());
         assertThrows(TomlException.class, () -> StormConfig.turnedOn("damping.ramp=\"1\""));
     }
 
     @Test
-    void whatTheFileGivesIsTaken() throws IOException {
+    void overridesDefaultsWithValuesOfFile() throws IOException {
         StormConfig config = read("""
                 enabled = true
                 damping.method = "gap"
@@ -71,8 +71,8 @@
         "reconnects.longest-backoff = \"1ms\" | longest-backoff is below first-backoff",
         "reconnects.share = 0 | reconnects.share",
         "returns.nope = 1 | nope"})
-    void whatCannotBeTakenIsNamed(String line, String complaint) {
+    void rejectsInvalidValueNamingTheSetting(String line, String expectedMessage) {
         TomlException e = assertThrows(TomlException.class, () -> read("enabled = true\n" + line));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 }
--- a/src/test/java/wingspread/sip/SipDecoderTest.java
+++ b/src/test/java/wingspread/sip/SipDecoderTest.java
@@ -32,7 +32,7 @@
     }
 
     @Property(tries = 300, seed = "11")
-    void aStreamReadsTheSameHoweverItIsCut(@ForAll long seed) throws BadInput {
+    void decodesStreamRegardlessOfItsChunks(@ForAll long seed) throws BadInput {
         byte[] stream = new byte[INVITE.length + 2 + RESPONSE.length];
         System.arraycopy(INVITE, 0, stream, 0, INVITE.length);
         stream[INVITE.length] = '\r';
@@ -48,14 +48,14 @@
     }
 
     @Property(tries = 2000, seed = "12")
-    boolean whatIsSpoiltIsTakenOrTurnedAway(@ForAll long seed) {
-        byte[] spoilt = Fuzz.spoil(seed % 2 == 0 ? INVITE : RESPONSE, seed);
-        return Fuzz.takesOrTurnsAway(b -> decoder.next(b, 0, b.length), spoilt)
-                && Fuzz.takesOrTurnsAway(SipDecoder::datagram, spoilt);
+    boolean decodesOrRejectsCorruptInput(@ForAll long seed) {
+        byte[] corrupt = Fuzz.spoil(seed % 2 == 0 ? INVITE : RESPONSE, seed);
+        return Fuzz.takesOrTurnsAway(b -> decoder.next(b, 0, b.length), corrupt)
+                && Fuzz.takesOrTurnsAway(SipDecoder::datagram, corrupt);
     }
 
     @Test
-    void aWrongLengthIsTurnedAway() {
+    void rejectsInvalidContentLength() {
         for (String length : List.of("", "Content-Length: x\r\n", "Content-Length: -1\r\n", "Content-Length: 99999\r\n",
                 "Content-Length: 1\r\nl: 2\r\n", "Content-Length: 9999999999999999999\r\n")) {
             byte[] message = bytes("BYE sip:a@b SIP/2.0\r\n" + length + "\r\nab");
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void aHeadWithoutAnEndIsTurnedAway() {
-        byte[] endless = bytes("BYE sip:a@b SIP/2.0\r\nX: " + "x".repeat(17_000));
-        assertThrows(BadInput.class, () -> decoder.next(endless, 0, endless.length));
+    void rejectsHeadWithoutEnd() {
+        byte[] unterminated = bytes("BYE sip:a@b SIP/2.0\r\nX: " + "x".repeat(17_000));
+        assertThrows(BadInput.class, () -> decoder.next(unterminated, 0, unterminated.length));
     }
 }
--- a/src/test/java/wingspread/testing/Fuzz.java
+++ b/src/test/java/wingspread/testing/Fuzz.java
@@ -7,11 +7,11 @@
 import wingspread.net.BadInput;
 import wingspread.net.FrameDecoder;
 
-/** What all parser tests share: a stream cut at random, and a valid message spoilt at random. */
+/** Utilities for parser tests: random chunks of a stream, and random corruption of a valid message. */
 public final class Fuzz {
     private Fuzz() { }
 
-    /** Feeds a stream to a decoder in pieces of random length and returns its messages. */
+    /** Feeds a stream to a decoder in chunks of random length and returns the decoded messages. */
     public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed) throws BadInput {
         SplittableRandom random = new SplittableRandom(seed);
         List<M> out = new ArrayList<>();
@@ -30,7 +30,7 @@
         return out;
     }
 
-    /** A message with some bytes changed, cut off or put in. */
+    /** Returns a copy of a message, truncated or extended, with some bytes changed. */
     public static byte[] spoil(byte[] valid, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] out = Arrays.copyOf(valid, random.nextInt(valid.length + 20));
@@ -43,10 +43,14 @@
     /** A parser under test. */
     @FunctionalInterface
     public interface Parser {
+        /** Parses the bytes, or rejects them by an exception. */
         void parse(byte[] bytes) throws BadInput;
     }
 
-    /** Whether a parser either takes bytes or turns them away as it should; anything else it throws goes on. */
+    /**
+     * Whether a parser either accepts the bytes or rejects them with a non-empty message of one line. Any other
+     * exception is propagated.
+     */
     public static boolean takesOrTurnsAway(Parser parser, byte[] bytes) {
         try {
             parser.parse(bytes);
--- a/src/test/java/wingspread/testing/KnownRed.java
+++ b/src/test/java/wingspread/testing/KnownRed.java
@@ -9,17 +9,21 @@
 import java.util.Map;
 
 /**
- * The tests that are known to fail for a fault that is not mended yet, as {@code KNOWN-RED.txt} at the root of the
- * project lists them: one line each with test, cause and issue, as in
- * {@code wingspread.ServeTest#aTest, the cause in words, issue 20}. Lines that begin with # are comments. Exactly these
- * may fail; one that passes must be taken off the list.
+ * The tests that are known to fail because of a fault that is not fixed yet, as listed in {@code KNOWN-RED.txt} at the
+ * root of the project. Each line names a test, the cause and the issue, as in
+ * {@code wingspread.ServeTest#aTest, the cause in words, issue 20}. Lines that begin with # are comments. Only the
+ * listed tests may fail, and one that passes has to be removed from the list.
  */
 public final class KnownRed {
-    /** More than this are not known faults but a broken build. */
-    static final int MOST = 3;
+    /** The maximum number of listed tests; with more known failures, the build counts as broken. */
+    static final int MAX_ENTRIES = 3;
     private static final Path FILE = Path.of("KNOWN-RED.txt");
 
-    /** One line of the list; {@code test} is the class's full name, #, and the method's name. */
+    /**
+     * A line of the list.
+     *
+     * @param test the qualified name of the class, # and the name of the method
+     */
     public record Entry(String test, String cause, String issue) { }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -30,8 +34,9 @@
                 add(line);
             }
         }
-        if (entries.size() > MOST) {
-            throw new IllegalArgumentException(FILE + " lists " + entries.size() + " tests; " + MOST + " at most");
+        if (entries.size() > MAX_ENTRIES) {
+            throw new IllegalArgumentException(
+                    FILE + " lists " + entries.size() + " tests; the maximum is " + MAX_ENTRIES);
         }
     }
 
@@ -39,7 +44,7 @@
         int cause = line.indexOf(',');
         int issue = line.lastIndexOf(',');
         if (cause <= 0 || issue == cause || !line.substring(0, cause).matches("[\\w.$]+#\\w+")) {
-            throw new IllegalArgumentException(FILE + ": 'class#method, cause, issue' was expected: " + line);
+            throw new IllegalArgumentException(FILE + ": expected 'class#method, cause, issue', got: " + line);
         }
         Entry entry = new Entry(line.substring(0, cause), line.substring(cause + 1, issue).strip(),
                 line.substring(issue + 1).strip());
@@ -47,16 +52,16 @@
     }
 
     /**
-     * The list in these lines.
+     * Parses the lines of a list.
      *
-     * @throws IllegalArgumentException where a line is no entry, or there are too many
+     * @throws IllegalArgumentException if a line is not a valid entry, or there are too many entries
      */
     public static KnownRed parse(List<String> lines) {
         return new KnownRed(lines);
     }
 
-    /** The project's list; empty where there is no file. */
-    public static KnownRed ofProject() {
+    /** Reads the list of this project; it is empty if the file does not exist. */
+    public static KnownRed loadProjectList() {
         try {
             return new KnownRed(Files.exists(FILE) ? Files.readAllLines(FILE) : List.of());
         } catch (IOException e) {
@@ -64,26 +69,26 @@
         }
     }
 
-    /** All entries, in their order. */
+    /** Returns all entries in their order in the list. */
     public List<Entry> entries() {
         return List.copyOf(entries.values());
     }
 
-    /** The entry of a test; null where it must pass. */
-    public Entry of(String testClass, String method) {
+    /** Returns the entry of a test, or null if the test is not listed. */
+    public Entry find(String testClass, String method) {
         return entries.get(testClass + "#" + method);
     }
 
-    /** Prints that a listed test has failed. */
-    public static String failed(Entry entry, Throwable failure) {
+    /** Prints that a listed test has failed, and returns the printed line. */
+    public static String reportFailure(Entry entry, Throwable failure) {
         String line = "KNOWN RED " + entry.test() + " failed, as listed (" + entry.cause() + "; " + entry.issue()
                 + "): " + String.valueOf(failure.getMessage()).lines().findFirst().orElse("");
         System.out.println(line);
         return line;
     }
 
-    /** What is wrong where a listed test passes. */
-    public static String passed(Entry entry) {
-        return entry.test() + " passes and is listed in " + FILE + ": take it off the list";
+    /** Returns the error message for a listed test that passes. */
+    public static String describeUnexpectedPass(Entry entry) {
+        return entry.test() + " passes but is listed in " + FILE + ": remove it from the list";
     }
 }
--- a/src/test/java/wingspread/testing/KnownRedExtension.java
+++ b/src/test/java/wingspread/testing/KnownRedExtension.java
@@ -7,15 +7,15 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Lets the JUnit tests that {@code KNOWN-RED.txt} lists fail without failing the build, and fails the build when one of
- * them passes. Registered for all tests by the service file beside it.
+ * A JUnit extension that lets the tests listed in {@code KNOWN-RED.txt} fail without failing the build, and fails the
+ * build if one of them passes. Registered for all tests by a file in {@code META-INF/services}.
  */
 public final class KnownRedExtension implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
     private final KnownRed list;
 
-    /** With the project's list. */
+    /** Creates an extension with the list of this project. */
     public KnownRedExtension() {
-        this(KnownRed.ofProject());
+        this(KnownRed.loadProjectList());
     }
 
     KnownRedExtension(KnownRed list) {
@@ -23,7 +23,7 @@
     }
 
     private KnownRed.Entry entry(ExtensionContext context) {
-        return list.of(context.getRequiredTestClass().getName(), context.getRequiredTestMethod().getName());
+        return list.find(context.getRequiredTestClass().getName(), context.getRequiredTestMethod().getName());
     }
 
     @Override
@@ -32,14 +32,14 @@
         if (entry == null) {
             throw failure;
         }
-        throw new TestAbortedException(KnownRed.failed(entry, failure));
+        throw new TestAbortedException(KnownRed.reportFailure(entry, failure));
     }
 
     @Override
     public void afterTestExecution(ExtensionContext context) {
         KnownRed.Entry entry = entry(context);
         if (entry != null && context.getExecutionException().isEmpty()) {
-            throw new AssertionFailedError(KnownRed.passed(entry));
+            throw new AssertionFailedError(KnownRed.describeUnexpectedPass(entry));
         }
     }
 }
--- a/src/test/java/wingspread/testing/KnownRedHook.java
+++ b/src/test/java/wingspread/testing/KnownRedHook.java
@@ -7,9 +7,9 @@
 import net.jqwik.api.lifecycle.PropertyLifecycleContext;
 import org.opentest4j.TestAbortedException;
 
-/** The same as {@link KnownRedExtension} for the properties of jqwik. */
+/** The counterpart of {@link KnownRedExtension} for jqwik properties. */
 public final class KnownRedHook implements AroundPropertyHook {
-    private final KnownRed list = KnownRed.ofProject();
+    private final KnownRed list = KnownRed.loadProjectList();
 
     @Override
     public PropagationMode propagateTo() {
@@ -18,17 +18,17 @@
 
     @Override
     public PropertyExecutionResult aroundProperty(PropertyLifecycleContext context, PropertyExecutor property) {
-        KnownRed.Entry entry = list.of(context.containerClass().getName(), context.targetMethod().getName());
+        KnownRed.Entry entry = list.find(context.containerClass().getName(), context.targetMethod().getName());
         PropertyExecutionResult result = property.execute();
-        return entry == null ? result : judged(entry, result);
+        return entry == null ? result : mapResult(entry, result);
     }
 
-    /** What becomes of a listed property. */
-    static PropertyExecutionResult judged(KnownRed.Entry entry, PropertyExecutionResult result) {
+    /** Converts the result of a listed property: a failure is tolerated, a success fails the build. */
+    static PropertyExecutionResult mapResult(KnownRed.Entry entry, PropertyExecutionResult result) {
         if (result.status() == PropertyExecutionResult.Status.SUCCESSFUL) {
-            return result.mapToFailed(KnownRed.passed(entry));
+            return result.mapToFailed(KnownRed.describeUnexpectedPass(entry));
         }
         Throwable failure = result.throwable().orElseGet(() -> new AssertionError("falsified"));
-        return result.mapToAborted(new TestAbortedException(KnownRed.failed(entry, failure)));
+        return result.mapToAborted(new TestAbortedException(KnownRed.reportFailure(entry, failure)));
     }
 }
--- a/src/test/java/wingspread/testing/KnownRedTest.java
+++ b/src/test/java/wingspread/testing/KnownRedTest.java
@@ -13,11 +13,11 @@
 import org.junit.platform.testkit.engine.EngineExecutionResults;
 import org.junit.platform.testkit.engine.EngineTestKit;
 
-/** The mechanism of the list of known failures, and the list itself. */
+/** The handling of known failures, and the list of this project. */
 class KnownRedTest {
     private static final String SAMPLE = "wingspread.testing.KnownRedTest$Sample#";
 
-    /** Played by the engine in the test below, not by the build: the build looks at no nested class of this name. */
+    /** Run only by the engine in the test below; the build does not select nested classes of this name. */
     static final class Sample {
         @RegisterExtension
         static final KnownRedExtension LISTED = new KnownRedExtension(KnownRed.parse(List.of("# a comment", "",
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void exactlyTheListedTestsMayFailAndOneThatPassesFailsTheBuild() {
+    void toleratesOnlyListedFailuresAndFailsOnListedTestThatPasses() {
         EngineExecutionResults results = EngineTestKit.engine("junit-jupiter").selectors(selectClass(Sample.class))
                 .execute();
         results.testEvents().assertStatistics(s -> s.started(4).succeeded(1).aborted(1).failed(2));
@@ -56,9 +56,9 @@
     }
 
     @Test
-    void aListThatIsTooLongOrUnreadableIsTurnedAway() {
-        KnownRed one = KnownRed.parse(List.of("a.B#c, it fails, with a comma, issue 1"));
-        assertEquals("it fails, with a comma", one.entries().get(0).cause());
+    void rejectsListThatIsTooLongOrMalformed() {
+        KnownRed list = KnownRed.parse(List.of("a.B#c, it fails, with a comma, issue 1"));
+        assertEquals("it fails, with a comma", list.entries().get(0).cause());
         assertThrows(IllegalArgumentException.class, () -> KnownRed.parse(List.of("a.B#c")));
         assertThrows(IllegalArgumentException.class, () -> KnownRed.parse(List.of("a.B#c, a cause alone")));
         assertThrows(IllegalArgumentException.class, () -> KnownRed.parse(List.of("everything, a cause, issue 1")));
@@ -67,8 +67,8 @@
     }
 
     @Test
-    void eachTestOnTheProjectsListExists() throws ClassNotFoundException {
-        for (KnownRed.Entry entry : KnownRed.ofProject().entries()) {
+    void everyListedTestExists() throws ClassNotFoundException {
+        for (KnownRed.Entry entry : KnownRed.loadProjectList().entries()) {
             String[] parts = entry.test().split("#");
             assertTrue(Arrays.stream(Class.forName(parts[0]).getDeclaredMethods())
                     .anyMatch(method -> method.getName().equals(parts[1])), entry.test());
--- a/src/test/java/wingspread/testing/Wire.java
+++ b/src/test/java/wingspread/testing/Wire.java
@@ -9,55 +9,63 @@
 import wingspread.net.BadInput;
 import wingspread.net.FrameDecoder;
 
-/** One end of a connection in a test: reads whole messages, with a bound on how long it waits for one. */
+/** One end of a connection in a test; reads complete messages, with a timeout. */
 public final class Wire<M> implements Closeable {
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
     private final Socket socket;
     private final FrameDecoder<M> decoder;
-    private byte[] bytes = new byte[0];
+    /** The received bytes that are not decoded yet. */
+    private byte[] buffer = new byte[0];
 
+    /** Wraps a connected socket, with a decoder for what the other end sends. */
     public Wire(Socket socket, FrameDecoder<M> decoder) throws IOException {
         this.socket = socket;
         this.decoder = decoder;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
     }
 
-    /** The next message; an EOF or a wait of ten seconds is an exception. */
+    /**
+     * Waits for the next message.
+     *
+     * @throws IOException if the other end closes, or nothing is received for ten seconds
+     */
     public M next() throws IOException, BadInput {
-        byte[] more = new byte[4_096];
+        byte[] chunk = new byte[4_096];
         while (true) {
-            FrameDecoder.Step<M> step = decoder.next(bytes, 0, bytes.length);
-            bytes = Arrays.copyOfRange(bytes, step.used(), bytes.length);
+            FrameDecoder.Step<M> step = decoder.next(buffer, 0, buffer.length);
+            buffer = Arrays.copyOfRange(buffer, step.used(), buffer.length);
             if (step.message() != null) {
                 return step.message();
             }
-            int n = socket.getInputStream().read(more);
-            if (n < 0) {
+            int count = socket.getInputStream().read(chunk);
+            if (count < 0) {
                 throw new IOException("the connection was closed");
             }
-            int had = bytes.length;
-            bytes = Arrays.copyOf(bytes, had + n);
-            System.arraycopy(more, 0, bytes, had, n);
+            int bufferedBytes = buffer.length;
+            buffer = Arrays.copyOf(buffer, bufferedBytes + count);
+            System.arraycopy(chunk, 0, buffer, bufferedBytes, count);
         }
     }
 
-    /** Whether the other side closes without a further message. */
+    /** Waits until the other end closes, and returns false if it sends a byte before that. */
     public boolean closed() throws IOException {
         return socket.getInputStream().read() < 0;
     }
 
+    /** Sends a text whose chars each hold one byte. */
     public void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
+    /** Sends an encoded message. */
     public void send(ByteBuf message) throws IOException {
-        byte[] out = new byte[message.readableBytes()];
-        message.readBytes(out);
-        socket.getOutputStream().write(out);
+        byte[] bytes = new byte[message.readableBytes()];
+        message.readBytes(bytes);
+        socket.getOutputStream().write(bytes);
     }
 
-    /** Closes with a reset in place of an orderly end. */
+    /** Closes the connection with a reset instead of a FIN. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
