--- a/src/main/java/wingspread/acme/AcmeAuthority.java
+++ b/src/main/java/wingspread/acme/AcmeAuthority.java
@@ -106,7 +106,7 @@
                 throw new IOException("the authority rejected " + description);
             }
             if (nextPoll.isAfter(deadline)) {
-                throw new IOException("timed out waiting for the authority to validate " + description);
+                throw new IOException("the authority did not validate " + description + " in time");
             }
             pause.until(nextPoll);
         }
--- a/src/main/java/wingspread/sip/Timers.java
+++ b/src/main/java/wingspread/sip/Timers.java
@@ -4,7 +4,7 @@
 import wingspread.turn.Deadlines;
 import wingspread.turn.Worker;
 
-/** The timers of the transaction layer. Timers are not cancelled; each task checks whether it still applies. */
+/** The timers of the transaction layer, in one queue. A timer is never cancelled; its task checks if it still applies. */
 public final class Timers implements Worker {
     /** T1 of RFC 3261, table 4, in microseconds: the estimate of the round-trip time. */
     public static final long T1 = 500_000;
--- a/src/test/java/wingspread/testing/KnownRed.java
+++ b/src/test/java/wingspread/testing/KnownRed.java
@@ -36,7 +36,7 @@
         }
         if (entries.size() > MAX_ENTRIES) {
             throw new IllegalArgumentException(
-                    FILE + " lists " + entries.size() + " tests; the maximum is " + MAX_ENTRIES);
+                    FILE + " lists " + entries.size() + " tests; at most " + MAX_ENTRIES + " are allowed");
         }
     }
 
