--- a/src/main/java/wingspread/sip/Timers.java
+++ b/src/main/java/wingspread/sip/Timers.java
@@ -4,7 +4,7 @@
 import wingspread.turn.Deadlines;
 import wingspread.turn.Worker;
 
-/** The timers of the transaction layer, in one queue. A timer is never cancelled; its task checks if it still applies. */
+/** The timers of the transaction layer. They are not cancelled; a task checks whether it still applies when it runs. */
 public final class Timers implements Worker {
     /** T1 of RFC 3261, table 4, in microseconds: the estimate of the round-trip time. */
     public static final long T1 = 500_000;
