--- a/src/test/java/wingspread/config/StormConfigTest.java
+++ b/src/test/java/wingspread/config/StormConfigTest.java
@@ -43,7 +43,8 @@
     @Test
     void enablesDisabledFileAndRejectsInvalidOne() throws IOException {
         Path disabledFile = Files.writeString(folder.resolve("off.toml"), "enabled = false\ndamping.ramp = \"7s\"\n");
-        assertEquals(7_000_000, read(StormConfig.turnedOn(disabledFile.toString())).storm().damping().ramp());
+        assertEquals(7_000_000,
+                read(StormConfig.turnedOn(disabledFile.toString())).storm().damping().ramp());
         assertEquals(StormFigures.USUAL, read(StormConfig.turnedOn("usual")).storm());
         assertThrows(TomlException.class, () -> StormConfig.turnedOn("damping.ramp=\"1\""));
     }
--- a/src/test/java/wingspread/testing/Fuzz.java
+++ b/src/test/java/wingspread/testing/Fuzz.java
@@ -12,7 +12,8 @@
     private Fuzz() { }
 
     /** Feeds a stream to a decoder in chunks of random length and returns the decoded messages. */
-    public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed) throws BadInput {
+    public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed)
+            throws BadInput {
         SplittableRandom random = new SplittableRandom(seed);
         List<M> out = new ArrayList<>();
         int from = 0;
