--- a/src/main/java/wingspread/config/StormConfig.java
+++ b/src/main/java/wingspread/config/StormConfig.java
@@ -14,14 +14,20 @@
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
-/** What {@code deploy/storm.toml} says: the usual figures, but for those that it gives. */
+/**
+ * The configuration of storm control in {@code deploy/storm.toml}. Parameters that the file does not set have their
+ * default values.
+ *
+ * @param storm the parameters of the control of redials
+ * @param reconnects the parameters of the pacing of new connections
+ */
 public record StormConfig(StormParameters storm, ReconnectParameters reconnects) {
     private static final String SCHEMA = "/wingspread/config/storm.schema.json";
 
     /**
-     * Reads the file; null where it is off.
+     * Reads the file. Returns null if it does not exist or storm control is not enabled.
      *
-     * @throws TomlException where it cannot be taken
+     * @throws TomlException if the file is invalid
      */
     public static StormConfig read(Path file) {
         if (!Switch.mayBeOn(file)) {
@@ -32,10 +38,11 @@
     }
 
     /**
-     * The figures of a file or, where the text has an {@code =}, of lines of TOML with commas between; whether it says
-     * {@code enabled} does not matter. {@code usual} has the usual ones.
+     * Returns the configuration that a command-line argument specifies, whether or not it sets {@code enabled}.
      *
-     * @throws TomlException where they cannot be taken
+     * @param text {@code usual} for the default values, lines of TOML separated by commas if it contains an {@code =},
+     *     or else the path of a file
+     * @throws TomlException if the configuration is invalid
      */
     public static StormConfig named(String text) {
         if (text.equals("usual")) {
@@ -45,9 +52,10 @@
     }
 
     /**
-     * The text of a file that damps storms by the figures {@link #named} takes, checked, with {@code enabled} on.
+     * Returns the TOML text of a configuration in which {@code enabled} is true.
      *
-     * @throws TomlException where they cannot be taken
+     * @param text the configuration, as for {@link #named}
+     * @throws TomlException if the configuration is invalid
      */
     public static String turnedOn(String text) {
         named(text);
@@ -69,51 +77,54 @@
         }
     }
 
-    private static Detection detection(JsonNode t) {
-        Detection usual = StormParameters.DEFAULTS.detection();
-        return new Detection(time(t, "window", usual.windowMicros()),
-                time(t, "usual-window", usual.baselineWindowMicros()),
-                t.path("onset-ratio").asDouble(usual.onsetRatio()), t.path("end-ratio").asDouble(usual.endRatio()),
-                t.path("over-usual").asDouble(usual.baselineFactor()),
-                t.path("most-usual").asDouble(usual.maxBaselineRatio()),
-                t.path("least-redials").asDouble(usual.minRedialsPerSecond()),
-                time(t, "end-after", usual.endAfterMicros()));
+    private static Detection detection(JsonNode table) {
+        Detection defaults = StormParameters.DEFAULTS.detection();
+        return new Detection(time(table, "window", defaults.windowMicros()),
+                time(table, "usual-window", defaults.baselineWindowMicros()),
+                table.path("onset-ratio").asDouble(defaults.onsetRatio()),
+                table.path("end-ratio").asDouble(defaults.endRatio()),
+                table.path("over-usual").asDouble(defaults.baselineFactor()),
+                table.path("most-usual").asDouble(defaults.maxBaselineRatio()),
+                table.path("least-redials").asDouble(defaults.minRedialsPerSecond()),
+                time(table, "end-after", defaults.endAfterMicros()));
     }
 
-    private static Damping damping(JsonNode t) {
-        Damping usual = StormParameters.DEFAULTS.damping();
-        Method method = t.has("method") ? Method.valueOf(t.path("method").asText().toUpperCase(Locale.ROOT))
-                : usual.method();
-        return new Damping(method, t.path("budget-share").asDouble(usual.budgetShare()),
-                t.path("budget-floor").asDouble(usual.budgetFloor()),
-                t.path("budget-most").asDouble(usual.maxBudget()), time(t, "ramp", usual.rampMicros()),
-                t.path("ramp-share").asDouble(usual.rampShare()),
-                t.path("throttle-factor").asDouble(usual.throttleFactor()),
-                t.path("least-failing").asDouble(usual.minFailureShare()));
+    private static Damping damping(JsonNode table) {
+        Damping defaults = StormParameters.DEFAULTS.damping();
+        Method method = table.has("method") ? Method.valueOf(table.path("method").asText().toUpperCase(Locale.ROOT))
+                : defaults.method();
+        return new Damping(method, table.path("budget-share").asDouble(defaults.budgetShare()),
+                table.path("budget-floor").asDouble(defaults.budgetFloor()),
+                table.path("budget-most").asDouble(defaults.maxBudget()),
+                time(table, "ramp", defaults.rampMicros()),
+                table.path("ramp-share").asDouble(defaults.rampShare()),
+                table.path("throttle-factor").asDouble(defaults.throttleFactor()),
+                table.path("least-failing").asDouble(defaults.minFailureShare()));
     }
 
-    private static RetryPolicy retryPolicy(JsonNode t) {
-        RetryPolicy usual = StormParameters.DEFAULTS.retryPolicy();
-        return new RetryPolicy(time(t, "longest-wait", usual.maxWaitMicros()),
-                t.path("spread-refusals").asBoolean(usual.spreadRefusals()),
-                time(t, "redial-time", usual.redialWindowMicros()),
-                t.path("most-tries").asInt(usual.maxCallsPerNumber()),
-                time(t, "early", usual.earlyToleranceMicros()), t.path("most-numbers").asInt(usual.maxNumbers()),
-                t.path("most-keys").asInt(usual.maxDestinations()));
+    private static RetryPolicy retryPolicy(JsonNode table) {
+        RetryPolicy defaults = StormParameters.DEFAULTS.retryPolicy();
+        return new RetryPolicy(time(table, "longest-wait", defaults.maxWaitMicros()),
+                table.path("spread-refusals").asBoolean(defaults.spreadRefusals()),
+                time(table, "redial-time", defaults.redialWindowMicros()),
+                table.path("most-tries").asInt(defaults.maxCallsPerNumber()),
+                time(table, "early", defaults.earlyToleranceMicros()),
+                table.path("most-numbers").asInt(defaults.maxNumbers()),
+                table.path("most-keys").asInt(defaults.maxDestinations()));
     }
 
-    private static ReconnectParameters reconnects(JsonNode t) {
-        ReconnectParameters usual = ReconnectParameters.DEFAULTS;
-        return new ReconnectParameters(t.path("share").asDouble(usual.loopShare()),
-                time(t, "burst", usual.burstMicros()),
-                t.path("surge-factor").asDouble(usual.surgeFactor()),
-                t.path("least-surge").asDouble(usual.minSurgePerSecond()),
-                time(t, "first-backoff", usual.initialBackoffMicros()),
-                time(t, "longest-backoff", usual.maxBackoffMicros()),
-                t.path("jitter").asDouble(usual.jitter()));
+    private static ReconnectParameters reconnects(JsonNode table) {
+        ReconnectParameters defaults = ReconnectParameters.DEFAULTS;
+        return new ReconnectParameters(table.path("share").asDouble(defaults.loopShare()),
+                time(table, "burst", defaults.burstMicros()),
+                table.path("surge-factor").asDouble(defaults.surgeFactor()),
+                table.path("least-surge").asDouble(defaults.minSurgePerSecond()),
+                time(table, "first-backoff", defaults.initialBackoffMicros()),
+                time(table, "longest-backoff", defaults.maxBackoffMicros()),
+                table.path("jitter").asDouble(defaults.jitter()));
     }
 
-    private static long time(JsonNode table, String name, long usual) {
-        return table.has(name) ? Duration.parse(table.path(name).asText()).micros() : usual;
+    private static long time(JsonNode table, String name, long defaultMicros) {
+        return table.has(name) ? Duration.parse(table.path(name).asText()).micros() : defaultMicros;
     }
 }
