--- a/src/main/java/wingspread/lab/rules/RuleBook.java
+++ b/src/main/java/wingspread/lab/rules/RuleBook.java
@@ -28,7 +28,7 @@
     /** For each softswitch, when it was notified that an exchange, by address, accepts no more calls. */
     private final Map<Integer, Map<Long, Long>> unavailableSince = new HashMap<>();
     private final Map<Integer, Set<Long>> knownAddresses = new HashMap<>();
-    private long counted;
+    private long breachCount;
 
     /**
      * Creates a checker for one run.
@@ -94,7 +94,7 @@
                     + " ms after the notification that it accepts no more calls");
         }
         if (!knownAddresses.getOrDefault(taken.place, Set.of()).contains(address)) {
-            addBreach(Rule.ROUTE, taken, now, "sent to an exchange that the directory never listed");
+            addBreach(Rule.ROUTE, taken, now, "sent to an exchange that no directory list contained");
         }
         if (toPlace == taken.place || taken.onlyDestination >= 0 && toPlace != taken.onlyDestination) {
             addBreach(Rule.ROUTE, taken, now, "sent to exchange " + toPlace + ", which is not a permitted destination");
@@ -168,7 +168,7 @@
     }
 
     /** Records that a cold exchange was overloaded, mostly by softswitches that had been notified of its start. */
-    public void pushedOver(int place, long now) {
+    public void coldExchangeOverloaded(int place, long now) {
         addBreach(new Breach(Rule.FAIL_BACK, "-", place, now - start,
                 "the cold exchange was sent more set-ups than it can process"));
     }
@@ -192,7 +192,7 @@
     }
 
     private void addBreach(Breach breach) {
-        counted++;
+        breachCount++;
         if (breaches.size() < MAX_KEPT_BREACHES) {
             breaches.add(breach);
         }
@@ -209,7 +209,7 @@
     }
 
     /** Returns the number of all breaches. */
-    public long counted() {
-        return counted;
+    public long breachCount() {
+        return breachCount;
     }
 }
--- a/src/main/java/wingspread/lab/world/FaultInjector.java
+++ b/src/main/java/wingspread/lab/world/FaultScheduler.java
@@ -9,7 +9,7 @@
 import wingspread.lab.sim.Streams;
 
 /** Lets the troubles of a day happen, each at its time. Whom they action is drawn from a stream for each trouble. */
-final class FaultInjector {
+final class FaultScheduler {
     /** Number of steps in which a surge rises and falls. */
     private static final int SURGE_STEPS = 10;
 
@@ -21,7 +21,7 @@
     private final List<Double> surgeFactors = new ArrayList<>();
     private long nextAddress;
 
-    FaultInjector(Network network, Traffic traffic, Directory directory, Streams streams) {
+    FaultScheduler(Network network, Traffic traffic, Directory directory, Streams streams) {
         this.network = network;
         this.traffic = traffic;
         this.directory = directory;
--- a/src/main/java/wingspread/lab/world/Model.java
+++ b/src/main/java/wingspread/lab/world/Model.java
@@ -109,7 +109,7 @@
         Directory directory = new Directory(network, streams);
         network.setDirectory(directory);
         directory.publishInitialList();
-        new FaultInjector(network, traffic, directory, streams).scheduleAll();
+        new FaultScheduler(network, traffic, directory, streams).scheduleAll();
     }
 
     private static Obligations obligations(Day day) {
@@ -146,12 +146,12 @@
             idleMicros = rules.owed() == 0 ? idleMicros + MICROS_PER_SECOND : 0;
         }
         rules.close(time.getAsLong());
-        return new Run(tally.service(), rules.breaches(), rules.counted(), traffic.arrivals(), time.eventCount(),
+        return new Run(tally.service(), rules.breaches(), rules.breachCount(), traffic.arrivals(), time.eventCount(),
                 tally.timeline(), tally.delays());
     }
 
     /** Runs until every call has ended and returns the number of circuits still busy, which should be 0. */
-    public int busyAfterAll() {
+    public int countBusyCircuitsAfterLastCall() {
         long maxDuration = day.classes().stream().mapToLong(Day.ClassOfCall::holding).max().orElse(0);
         time.runUntil(time.getAsLong() + MAX_HOLDING_TIME_FACTOR * maxDuration);
         List<Node> nodes = network.nodes();
--- a/src/main/java/wingspread/lab/world/Network.java
+++ b/src/main/java/wingspread/lab/world/Network.java
@@ -379,7 +379,7 @@
                 * ruleParameters.fall();
         if (to.offeredWork.sum() > maxWork + COLD_OVERLOAD_SLACK_SET_UPS * setUpWork) {
             if (to.offeredWork.mostlyInformed()) {
-                rules.pushedOver(to.place, now());
+                rules.coldExchangeOverloaded(to.place, now());
             }
             stop(to);
             directory.processStopped(to);
--- a/src/test/java/wingspread/lab/ModelTest.java
+++ b/src/test/java/wingspread/lab/ModelTest.java
@@ -155,7 +155,7 @@
         Scenario scenario = Scenario.named("usual");
         Service.Counts planner = play(scenario, PLANNER, 9).service().counts();
         Service.Counts stub = play(scenario, StubController.with(Defect.NONE), 9).service().counts();
-        assertEquals(planner.firstTries(), stub.firstTries());
+        assertEquals(planner.freshCalls(), stub.freshCalls());
         assertTrue(planner.redials() != stub.redials());
     }
 
@@ -208,7 +208,7 @@
         Service service = run.service();
         long ended = service.classes().stream().mapToLong(c -> c.inAim() + c.late() + c.cut()).sum();
         assertEquals(run.calls(), ended + service.counts().lost(), toml);
-        assertEquals(0, model.busyAfterAll(), toml);
+        assertEquals(0, model.countBusyCircuitsAfterLastCall(), toml);
     }
 
     @Provide
