--- a/src/main/java/wingspread/lab/sim/Streams.java
+++ b/src/main/java/wingspread/lab/sim/Streams.java
@@ -20,7 +20,7 @@
         return stream(purpose, 0);
     }
 
-    /** Returns a new stream for one of several uses of the same purpose, told apart by {@code index}. */
+    /** Returns a new stream for one of several uses of the same purpose, given by {@code index}. */
     public UniformRandomProvider stream(String purpose, long index) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seedOf(purpose, index));
     }
--- a/src/main/java/wingspread/lab/world/Directory.java
+++ b/src/main/java/wingspread/lab/world/Directory.java
@@ -78,7 +78,8 @@
     }
 
     private void deliver(Node node, Node subject, Exchange entry) {
-        network.rules().told(node.place, entry.address(), entry.readiness() != Readiness.READY, network.now());
+        network.rules().told(node.place, entry.address(), entry.readiness() != Readiness.READY,
+                network.now());
         if (entry.readiness() == Readiness.READY && entry.upSince() == startTimes.get(subject)) {
             subject.informedNodes.add(node);
         }
--- a/src/main/java/wingspread/lab/world/FaultScheduler.java
+++ b/src/main/java/wingspread/lab/world/FaultScheduler.java
@@ -8,7 +8,10 @@
 import wingspread.lab.scenario.Trouble;
 import wingspread.lab.sim.Streams;
 
-/** Lets the troubles of a day happen, each at its time. Whom they action is drawn from a stream for each trouble. */
+/**
+ * Schedules the faults of a scenario, each at its time. The exchanges that a fault affects are drawn from a random
+ * stream of its own.
+ */
 final class FaultScheduler {
     /** Number of steps in which a surge rises and falls. */
     private static final int SURGE_STEPS = 10;
--- a/src/main/java/wingspread/lab/world/Subscriber.java
+++ b/src/main/java/wingspread/lab/world/Subscriber.java
@@ -10,8 +10,8 @@
 import wingspread.lab.scenario.Day;
 
 /**
- * A caller who wants one call, from its fresh call on: waits, abandons, redials under a new call id, or has an
- * established call cut. Has a random stream of its own.
+ * Simulates a caller and its one call, from the fresh call on: the caller waits, abandons the call, redials under a new
+ * call id, or has an established call cut. Each caller has a random stream of its own.
  */
 final class Subscriber {
     private static final byte[] DESCRIPTION = new byte[0];
--- a/src/test/java/wingspread/lab/ModelTest.java
+++ b/src/test/java/wingspread/lab/ModelTest.java
@@ -101,7 +101,8 @@
         try (Experiment experiment = new Experiment(Scenario.named("surge-slow-late"), 5, threads);
                 SoftswitchPool pool = SoftswitchPool.local(PLANNER)) {
             return new ObjectMapper().writeValueAsBytes(
-                    experiment.each(0, 8, n -> pool.with(softswitches -> experiment.play(n, softswitches, 0))));
+                    experiment.each(0, 8,
+                            n -> pool.with(softswitches -> experiment.play(n, softswitches, 0))));
         }
     }
 
