--- a/src/main/java/wingspread/testbed/soak/BadCallers.java
+++ b/src/main/java/wingspread/testbed/soak/BadCallers.java
@@ -39,19 +39,19 @@
 
     /** One that sends what cannot be read. */
     static void garbage(Loop loop, int port, SplittableRandom random, TrialLog log, String party) {
-        sayOnce(loop, port, GARBAGE.get(random.nextInt(GARBAGE.size())), log, party, call -> { });
+        sendAndHold(loop, port, GARBAGE.get(random.nextInt(GARBAGE.size())), log, party, call -> { });
     }
 
     /** One that never finishes a request; every other one has begun. */
     static void mute(Loop loop, int port, int number, TrialLog log, String party) {
-        sayOnce(loop, port, number % 2 == 0 ? "" : "{\"op\":\"off", log, party, call -> { });
+        sendAndHold(loop, port, number % 2 == 0 ? "" : "{\"op\":\"off", log, party, call -> { });
     }
 
     /**
      * Connects, says this, and holds the connection for a while. Whatever ends a call that stands may come on it, as on
      * any connection of a caller's: {@code over} hears of these calls.
      */
-    static void sayOnce(Loop loop, int port, String text, TrialLog log, String party, Consumer<String> over) {
+    static void sendAndHold(Loop loop, int port, String text, TrialLog log, String party, Consumer<String> over) {
         new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<NioSocketChannel>() {
                     @Override
@@ -70,7 +70,7 @@
     }
 
     /** Connects, says this, and closes with it. */
-    static void sayAndClose(Loop loop, int port, String text) {
+    static void sendAndClose(Loop loop, int port, String text) {
         new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
                 .handler(new ChannelInboundHandlerAdapter())
                 .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
--- a/src/main/java/wingspread/testbed/soak/CallerStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/CallerStandIn.java
@@ -26,30 +26,36 @@
 import wingspread.net.MessageHandler;
 
 /**
- * The usual callers of one softswitch: they offer calls over some connections, open each anew when it ends, and use an
- * open one for as long as it is open. Some of them give up, write slowly, repeat an id, or leave with their request.
- * Confined to the loop.
+ * Stand-in for the regular callers of one softswitch. They offer calls over a fixed number of persistent connections,
+ * and reconnect when one of them ends. During some faults, part of the callers abandon calls, write slowly, reuse the
+ * id of an open call, or close the connection together with their request. Confined to the loop.
  */
 final class CallerStandIn implements MessageHandler.Listener<Map<?, ?>> {
-    private static final int NORMAL = 16;
-    private static final List<Integer> REFUSALS = List.of(34, 42, 102);
-    private static final long RECONNECT = 20_000;
-    /** 'a set-up that crosses such a close within 50 ms is resent' */
-    private static final long CROSSING = 50_000;
+    private static final int CAUSE_NORMAL_CLEARING = 16;
+    private static final List<Integer> REFUSAL_CAUSES = List.of(34, 42, 102);
+    private static final long RETRY_INTERVAL_MICROS = 20_000;
+    /** PROTOCOL: 'a set-up that crosses such a close within 50 ms is resent'. */
+    private static final long CROSSING_WINDOW_MICROS = 50_000;
     private static final double TRANSIT_SHARE = 0.1;
     private static final double HANG_UP_SHARE = 0.1;
-    private static final double SHORT_TIME_SHARE = 0.1;
-    private static final double FAULTY_SHARE = 0.25;
-    private static final long PIECE_PAUSE = 8_000;
-    /** Of a caller that writes very slowly. */
-    private static final long LONGEST_PIECE_PAUSE = 1_500_000;
-    private static final String TEST = "{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n";
-
-    /** What some of the callers do wrong for a while. */
+    private static final double SHORT_DEADLINE_SHARE = 0.1;
+    private static final double MISBEHAVING_SHARE = 0.25;
+    private static final long FRAGMENT_PAUSE_MICROS = 8_000;
+    /** Maximum additional pause between the two parts of a request of a very slow writer. */
+    private static final long MAX_SLOW_WRITER_PAUSE_MICROS = 1_500_000;
+    private static final String TEST_REQUEST =
+            "{\"op\":\"test\",\"call\":\"0000000000000001\",\"with\":{},\"why\":0}\n";
+
+    /** Misbehaviour that part of the callers show for the duration of a fault. */
     enum Habit { GIVE_UP, REPEATED_ID, SLOW_WRITER, SEND_AND_CLOSE }
 
-    /** A set-up that waits for its answer. */
-    private record Offer(String id, long writtenAt, boolean again) { }
+    /**
+     * A set-up that has not been answered yet.
+     *
+     * @param writtenAt time in microseconds at which the last byte was written
+     * @param resent whether it replaces a set-up that crossed the close of its connection
+     */
+    private record Offer(String id, long writtenAt, boolean resent) { }
 
     private final Loop loop;
     private final int softswitch;
@@ -59,18 +65,18 @@
     private final TrialLog log;
     private final Judge judge;
     private final String party;
-    private final List<Channel> slots = new ArrayList<>();
-    private final Map<Channel, Map<String, Offer>> open = new LinkedHashMap<>();
-    private final Map<Habit, Boolean> habits = new LinkedHashMap<>();
-    /** Connections on which a message is written in part: nothing else may come between. */
-    private final Set<Channel> partWritten = new HashSet<>();
-    private int toSendAgain;
+    private final List<Channel> connectionSlots = new ArrayList<>();
+    private final Map<Channel, Map<String, Offer>> unansweredOffers = new LinkedHashMap<>();
+    private final Map<Habit, Boolean> misbehaviours = new LinkedHashMap<>();
+    /** Connections with a partially written message: no other message may be written before the rest. */
+    private final Set<Channel> partiallyWritten = new HashSet<>();
+    private int pendingResends;
     private boolean offering;
     private boolean closed;
     private boolean ready;
-    /** When SIGTERM was sent to the softswitch; {@link Long#MAX_VALUE} where none was. */
-    private long terminatedAt = Long.MAX_VALUE;
-    private boolean killed;
+    /** Time in microseconds at which SIGTERM was sent to the softswitch; {@link Long#MAX_VALUE} if none was sent. */
+    private long sigtermAt = Long.MAX_VALUE;
+    private boolean sigkillSent;
 
     CallerStandIn(Loop loop, int softswitch, int port, int connections, Schedule.Deployment deployment,
             SplittableRandom random, TrialLog log, Judge judge) {
@@ -83,13 +89,13 @@
         this.judge = judge;
         this.party = "callers of n" + softswitch;
         for (int i = 0; i < connections; i++) {
-            slots.add(null);
+            connectionSlots.add(null);
         }
     }
 
-    /** Connects, and tests whether the softswitch is ready. */
+    /** Opens all connections, and tests on each whether the softswitch is ready. */
     void connect() {
-        for (int i = 0; i < slots.size(); i++) {
+        for (int i = 0; i < connectionSlots.size(); i++) {
             connect(i);
         }
     }
@@ -99,42 +105,42 @@
         return ready;
     }
 
-    /** Begins to offer calls. */
+    /** Starts to offer calls. */
     void begin() {
         offering = true;
-        next();
+        offerNext();
     }
 
-    /** Offers no further call. */
+    /** Stops offering calls. */
     void end() {
         offering = false;
     }
 
     void habit(Habit habit, boolean on) {
-        habits.put(habit, on);
+        misbehaviours.put(habit, on);
     }
 
-    /** SIGTERM is sent to the softswitch now. */
-    void terminated() {
-        terminatedAt = loop.now();
+    /** Records that SIGTERM has just been sent to the softswitch. */
+    void sigtermSent() {
+        sigtermAt = loop.now();
         ready = false;
     }
 
-    /** SIGKILL is sent to the softswitch now. */
-    void killed() {
-        killed = true;
+    /** Records that SIGKILL has just been sent to the softswitch. */
+    void sigkillSent() {
+        sigkillSent = true;
         ready = false;
     }
 
-    /** The softswitch is started again. */
-    void startedAgain() {
-        killed = false;
-        terminatedAt = Long.MAX_VALUE;
+    /** Records that the softswitch is started again. */
+    void restarted() {
+        sigkillSent = false;
+        sigtermAt = Long.MAX_VALUE;
     }
 
     void close() {
         closed = true;
-        List.copyOf(open.keySet()).forEach(Channel::close);
+        List.copyOf(unansweredOffers.keySet()).forEach(Channel::close);
     }
 
     // Connections.
@@ -155,12 +161,12 @@
                 .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
                 .addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
-                        slots.set(slot, f.channel());
-                        open.put(f.channel(), new LinkedHashMap<>());
-                        write(f.channel(), TEST);
-                        sendAgain(f.channel());
+                        connectionSlots.set(slot, f.channel());
+                        unansweredOffers.put(f.channel(), new LinkedHashMap<>());
+                        write(f.channel(), TEST_REQUEST);
+                        resendPending(f.channel());
                     } else {
-                        loop.at(loop.now() + RECONNECT, () -> connect(slot));
+                        loop.at(loop.now() + RETRY_INTERVAL_MICROS, () -> connect(slot));
                     }
                 });
     }
@@ -170,103 +176,108 @@
         loop.flushAfterTurn(channel);
     }
 
-    private void sendAgain(Channel channel) {
-        if (offering && toSendAgain > 0) {
-            toSendAgain--;
+    private void resendPending(Channel channel) {
+        if (offering && pendingResends > 0) {
+            pendingResends--;
             offer(channel, true);
         }
     }
 
-    private Channel anyOpen() {
-        List<Channel> up = open.keySet().stream().filter(c -> c.isActive() && !partWritten.contains(c)).toList();
-        return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+    private Channel randomWritableConnection() {
+        List<Channel> writable = unansweredOffers.keySet().stream()
+                .filter(c -> c.isActive() && !partiallyWritten.contains(c)).toList();
+        return writable.isEmpty() ? null : writable.get(random.nextInt(writable.size()));
     }
 
     @Override
     public void ended(Channel channel, CloseReason reason) {
-        Map<String, Offer> unanswered = open.remove(channel);
-        int slot = slots.indexOf(channel);
+        Map<String, Offer> unanswered = unansweredOffers.remove(channel);
+        int slot = connectionSlots.indexOf(channel);
         if (slot >= 0) {
-            slots.set(slot, null);
+            connectionSlots.set(slot, null);
             loop.at(loop.now() + 1, () -> connect(slot));
         }
         if (unanswered != null) {
-            unanswered.values().forEach(this::unanswered);
+            unanswered.values().forEach(this::onUnanswered);
         }
     }
 
-    private void unanswered(Offer offer) {
+    private void onUnanswered(Offer offer) {
         long now = loop.now();
-        if (killed && terminatedAt == Long.MAX_VALUE) {
+        if (sigkillSent && sigtermAt == Long.MAX_VALUE) {
             judge.excused(offer.id(), Excuse.KILLED_OUTRIGHT);
-        } else if (killed && offer.writtenAt() <= terminatedAt + 700_000) {
+        } else if (sigkillSent && offer.writtenAt() <= sigtermAt + 700_000) {
             judge.excused(offer.id(), Excuse.KILLED_AT_PLANNED_END);
-        } else if (!offer.again() && now - offer.writtenAt() <= CROSSING && !judge.wasAttempted(offer.id())) {
-            // Its caller sends it again, once, on a new connection; here that is another call, with an id of its own,
-            // once a connection has come up.
+        } else if (!offer.resent() && now - offer.writtenAt() <= CROSSING_WINDOW_MICROS
+                && !judge.wasAttempted(offer.id())) {
+            // A caller resends such a set-up once on a new connection. The stand-in instead offers a call with a new id
+            // as soon as a connection is established.
             judge.excused(offer.id(), Excuse.CROSSED_A_CLOSE);
-            toSendAgain++;
+            pendingResends++;
         } else {
             judge.lost(offer.id(), "its connection was closed without an answer, " + (now - offer.writtenAt()) / 1_000
-                    + " ms after it was written" + (terminatedAt < now ? ", "
-                    + (now - terminatedAt) / 1_000 + " ms after SIGTERM" : ""));
+                    + " ms after it was written" + (sigtermAt < now ? ", "
+                    + (now - sigtermAt) / 1_000 + " ms after SIGTERM" : ""));
         }
     }
 
     // Calls.
 
-    private void next() {
+    private void offerNext() {
         if (!offering) {
             return;
         }
-        Channel channel = anyOpen();
+        Channel channel = randomWritableConnection();
         if (channel != null) {
             offer(channel, false);
         }
-        if (faulty(Habit.SEND_AND_CLOSE)) {
+        if (misbehaves(Habit.SEND_AND_CLOSE)) {
             sendAndClose();
         }
         double gap = -Math.log(1 - random.nextDouble()) / deployment.callsPerSecond();
-        loop.at(loop.now() + (long) (gap * 1_000_000), this::next);
+        loop.at(loop.now() + (long) (gap * 1_000_000), this::offerNext);
     }
 
     /**
-     * A caller with a connection of its own sends its request and closes, so that no answer is owed; calls of others
-     * may not stand on that connection, since a release that crosses the close would be lost by the caller's own doing.
+     * Sends a request on a separate connection and closes it, so that no answer is required. No other call may use that
+     * connection: a release that crosses the close would be lost by the caller's fault.
      */
     private void sendAndClose() {
         String id = newId();
-        log.add(party, id, "offers on a connection that it closes at once");
+        log.add(party, id, "offers on a connection that it closes immediately");
         judge.offered(id, softswitch, loop.now() + deployment.longestDeadline(), -1);
         judge.excused(id, Excuse.CALLER_GAVE_UP);
-        BadCallers.sayAndClose(loop, port, line(id, 0, deployment.deadlinesMs().get(0), otherPlace(), false));
+        BadCallers.sendAndClose(loop, port,
+                offerRequest(id, 0, deployment.deadlinesMs().get(0), otherDestination(), false));
     }
 
-    private boolean faulty(Habit habit) {
-        return habits.getOrDefault(habit, false) && random.nextDouble() < FAULTY_SHARE;
+    private boolean misbehaves(Habit habit) {
+        return misbehaviours.getOrDefault(habit, false) && random.nextDouble() < MISBEHAVING_SHARE;
     }
 
-    private void offer(Channel channel, boolean again) {
+    private void offer(Channel channel, boolean resent) {
         String id = newId();
         int callClass = random.nextInt(deployment.deadlinesMs().size());
-        long left = (long) (deployment.deadlinesMs().get(callClass)
-                * (random.nextDouble() < SHORT_TIME_SHARE ? 0.05 + 0.25 * random.nextDouble() : 1));
-        int destination = otherPlace();
+        long remainingMs = (long) (deployment.deadlinesMs().get(callClass)
+                * (random.nextDouble() < SHORT_DEADLINE_SHARE ? 0.05 + 0.25 * random.nextDouble() : 1));
+        int destination = otherDestination();
         boolean transit = deployment.exchanges() > 2 && random.nextDouble() < TRANSIT_SHARE;
-        String line = line(id, callClass, left, destination, transit);
-        if (faulty(Habit.SLOW_WRITER)) {
-            int cut = 1 + random.nextInt(line.length() - 2);
-            partWritten.add(channel);
-            channel.writeAndFlush(bytes(line.substring(0, cut)));
-            long pause = PIECE_PAUSE + (random.nextInt(4) == 0 ? random.nextLong(LONGEST_PIECE_PAUSE) : 0);
-            loop.at(loop.now() + pause, () -> {
-                partWritten.remove(channel);
-                if (channel.isActive() && open.containsKey(channel)) {
-                    written(channel, id, left, transit ? softswitch : -1, destination, line.substring(cut), again);
+        String line = offerRequest(id, callClass, remainingMs, destination, transit);
+        if (misbehaves(Habit.SLOW_WRITER)) {
+            int splitAt = 1 + random.nextInt(line.length() - 2);
+            partiallyWritten.add(channel);
+            channel.writeAndFlush(bytes(line.substring(0, splitAt)));
+            long pauseMicros = FRAGMENT_PAUSE_MICROS
+                    + (random.nextInt(4) == 0 ? random.nextLong(MAX_SLOW_WRITER_PAUSE_MICROS) : 0);
+            loop.at(loop.now() + pauseMicros, () -> {
+                partiallyWritten.remove(channel);
+                if (channel.isActive() && unansweredOffers.containsKey(channel)) {
+                    finishOffer(channel, id, remainingMs, transit ? softswitch : -1, destination,
+                            line.substring(splitAt), resent);
                 }
             });
         } else {
-            written(channel, id, left, transit ? softswitch : -1, destination, line, again);
+            finishOffer(channel, id, remainingMs, transit ? softswitch : -1, destination, line, resent);
         }
     }
 
@@ -274,16 +285,16 @@
         return String.format(Locale.ROOT, "%016x", random.nextLong());
     }
 
-    /** The place of an exchange other than the softswitch's own. */
-    private int otherPlace() {
+    /** Returns the number of a random exchange other than the softswitch's own. */
+    private int otherDestination() {
         int other = random.nextInt(deployment.exchanges() - 1);
         return other < softswitch ? other : other + 1;
     }
 
-    private String line(String id, int callClass, long leftMs, int destination, boolean transit) {
+    private String offerRequest(String id, int callClass, long remainingMs, int destination, boolean transit) {
         return String.format(Locale.ROOT, "{\"op\":\"offer\",\"call\":\"%s\",\"with\":{\"class\":\"c%d\","
                 + "\"left\":\"%d\",\"key\":\"%016x\",\"extras\":\"dest:%d;width:1;via:%d%s\"},\"desc\":\"offer %s\"}\n",
-                id, callClass, leftMs, random.nextLong(), destination, transit ? softswitch : -1,
+                id, callClass, remainingMs, random.nextLong(), destination, transit ? softswitch : -1,
                 transit ? ";transit:1" : "", id);
     }
 
@@ -291,37 +302,42 @@
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Writes the last bytes of a set-up. */
-    private void written(Channel channel, String id, long leftMs, int transitFrom, int destination, String rest,
-            boolean again) {
+    /**
+     * Writes the last bytes of a set-up and reports it to the judge.
+     *
+     * @param transitFrom number of the exchange from which the call is in transit; -1 if it is not a transit call
+     * @param rest the bytes of the request that have not been written yet
+     */
+    private void finishOffer(Channel channel, String id, long remainingMs, int transitFrom, int destination,
+            String rest, boolean resent) {
         long now = loop.now();
-        log.add(party, id, "offers left-ms=" + leftMs + " destination=" + destination
+        log.add(party, id, "offers left-ms=" + remainingMs + " destination=" + destination
                 + (transitFrom >= 0 ? " transit" : "") + " on " + channel.localAddress());
-        judge.offered(id, softswitch, now + leftMs * 1_000, transitFrom >= 0 ? destination : -1);
-        open.get(channel).put(id, new Offer(id, now, again));
+        judge.offered(id, softswitch, now + remainingMs * 1_000, transitFrom >= 0 ? destination : -1);
+        unansweredOffers.get(channel).put(id, new Offer(id, now, resent));
         channel.writeAndFlush(bytes(rest));
-        if (faulty(Habit.GIVE_UP)) {
-            loop.at(now + (long) (leftMs * 1_000 * random.nextDouble() * 0.5), () -> giveUp(channel, id));
-        } else if (faulty(Habit.REPEATED_ID)) {
-            repeat(id, rest);
+        if (misbehaves(Habit.GIVE_UP)) {
+            loop.at(now + (long) (remainingMs * 1_000 * random.nextDouble() * 0.5), () -> abandon(channel, id));
+        } else if (misbehaves(Habit.REPEATED_ID)) {
+            repeatId(id, rest);
         }
     }
 
-    private void giveUp(Channel channel, String id) {
-        Map<String, Offer> on = open.get(channel);
-        if (on != null && on.remove(id) != null) {
-            log.add(party, id, "gives up");
+    private void abandon(Channel channel, String id) {
+        Map<String, Offer> offers = unansweredOffers.get(channel);
+        if (offers != null && offers.remove(id) != null) {
+            log.add(party, id, "abandons the call");
             judge.excused(id, Excuse.CALLER_GAVE_UP);
             release(channel, id);
         }
     }
 
-    /** A caller that may not offer this id does so, on a connection of its own, and goes. */
-    private void repeat(String id, String line) {
+    /** Offers an id that is already in use again, on a separate connection that is closed after a while. */
+    private void repeatId(String id, String line) {
         if (line.startsWith("{")) {
-            BadCallers.sayOnce(loop, port, line, log, party, call -> {
+            BadCallers.sendAndHold(loop, port, line, log, party, call -> {
                 if (judge.stands(call) && !call.equals(id)) {
-                    log.add(party, call, "told over on another caller's connection");
+                    log.add(party, call, "notified of the end on another caller's connection");
                     judge.toldOver(call);
                 }
             });
@@ -334,39 +350,40 @@
         switch (String.valueOf(message.get("op"))) {
             case "tested" -> {
                 boolean passed = message.get("why") instanceof Double d && d.intValue() == 1;
-                ready |= passed && terminatedAt == Long.MAX_VALUE && !killed;
-                if (!passed && terminatedAt == Long.MAX_VALUE) {
-                    loop.at(loop.now() + RECONNECT, () -> write(channel, TEST));
+                ready |= passed && sigtermAt == Long.MAX_VALUE && !sigkillSent;
+                if (!passed && sigtermAt == Long.MAX_VALUE) {
+                    loop.at(loop.now() + RETRY_INTERVAL_MICROS, () -> write(channel, TEST_REQUEST));
                 }
             }
-            case "accept" -> accepted(channel, id, String.valueOf(message.get("desc")));
-            case "end" -> ended(channel, id, message);
+            case "accept" -> onAccepted(channel, id, String.valueOf(message.get("desc")));
+            case "end" -> onEnded(channel, id, message);
             default -> { }
         }
     }
 
-    /** Ends a call; waits while another message is written in part. */
+    /** Ends a call; waits until a partially written message is complete. */
     private void release(Channel channel, String id) {
-        if (partWritten.contains(channel)) {
-            loop.at(loop.now() + PIECE_PAUSE, () -> release(channel, id));
+        if (partiallyWritten.contains(channel)) {
+            loop.at(loop.now() + FRAGMENT_PAUSE_MICROS, () -> release(channel, id));
         } else if (channel.isActive()) {
             channel.writeAndFlush(bytes("{\"op\":\"end\",\"call\":\"" + id + "\",\"with\":{},\"why\":16}\n"));
         }
     }
 
-    private Offer answered(Channel channel, String id) {
-        Map<String, Offer> on = open.get(channel);
-        return on == null ? null : on.remove(id);
+    /** Removes and returns an unanswered offer; null if there is none with this id. */
+    private Offer takeOffer(Channel channel, String id) {
+        Map<String, Offer> offers = unansweredOffers.get(channel);
+        return offers == null ? null : offers.remove(id);
     }
 
-    private void accepted(Channel channel, String id, String description) {
-        if (answered(channel, id) == null) {
-            // Its caller has given up or gone: the call is released again.
-            log.add(party, id, "is told that a call stands which nobody waits for");
+    private void onAccepted(Channel channel, String id, String description) {
+        if (takeOffer(channel, id) == null) {
+            // The caller has abandoned the call or disconnected, so the call is released at once.
+            log.add(party, id, "accept for a call that no caller waits for");
             release(channel, id);
             return;
         }
-        log.add(party, id, "stands");
+        log.add(party, id, "established");
         judge.stood(id, description);
         if (random.nextDouble() < HANG_UP_SHARE) {
             loop.at(loop.now() + (long) (random.nextDouble() * deployment.holdingMs() * 1_000), () -> hangUp(id));
@@ -374,7 +391,7 @@
     }
 
     private void hangUp(String id) {
-        Channel channel = anyOpen();
+        Channel channel = randomWritableConnection();
         if (channel != null && judge.stands(id)) {
             log.add(party, id, "hangs up");
             judge.toldOver(id);
@@ -382,11 +399,11 @@
         }
     }
 
-    private void ended(Channel channel, String id, Map<?, ?> message) {
-        int why = message.get("why") instanceof Double d ? d.intValue() : NORMAL;
-        Offer offer = answered(channel, id);
+    private void onEnded(Channel channel, String id, Map<?, ?> message) {
+        int why = message.get("why") instanceof Double d ? d.intValue() : CAUSE_NORMAL_CLEARING;
+        Offer offer = takeOffer(channel, id);
         if (offer == null) {
-            log.add(party, id, "told over cause=" + why);
+            log.add(party, id, "notified of the end cause=" + why);
             if (judge.stands(id)) {
                 judge.toldOver(id);
             } else if (!judge.isAnswered(id)) {
@@ -394,7 +411,7 @@
             }
             return;
         }
-        boolean refused = REFUSALS.contains(why);
+        boolean refused = REFUSAL_CAUSES.contains(why);
         log.add(party, id, (refused ? "refused" : "failed") + " cause=" + why + " after "
                 + (loop.now() - offer.writtenAt()) / 1_000 + " ms");
         if (refused) {
--- a/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
@@ -28,80 +28,82 @@
 import wingspread.testbed.Ports;
 
 /**
- * One exchange's process, which speaks the platform's SIP behind a {@link FaultProxy}: it takes set-ups, lets calls
- * stand for a while and releases them, and tells the {@link Judge} of all that the rules are about. Confined to the
- * loop.
+ * Stand-in for the process of one exchange, which speaks the platform's SIP behind a {@link FaultProxy}. It answers
+ * set-ups, releases established calls after their holding time, and reports every event that the rules refer to to the
+ * {@link Judge}. Confined to the loop.
  */
 final class ExchangeStandIn implements MessageHandler.Listener<SipMessage> {
-    private static final int NORMAL = 16;
-    private static final int CUT = 41;
+    private static final int CAUSE_NORMAL_CLEARING = 16;
+    private static final int CAUSE_TEMPORARY_FAILURE = 41;
     private static final int CIRCUITS = 400;
-    /** Shares of set-ups that are turned away: processor full, line busy. */
-    private static final double FULL_SHARE = 0.04;
-    private static final double BUSY_SHARE = 0.02;
-    private static final long LEAST_ANSWER_DELAY = 3_000;
-    private static final long ANSWER_DELAY = 50_000;
-    private static final long LATE_ANSWER = 700_000;
-    private static final long REPORT_DELAY = 100_000;
-    /** A release that was written so shortly before its connection ended may not have been heard. */
-    private static final long CROSSING = 50_000;
-    private static final int MOST_SENT = 1_024;
-    private static final double COLD_SHARE = 0.3;
-    private static final long COLD = 14_000_000;
-
-    /** What its process does with what comes in. */
-    private enum State { SERVING, HANGING, DEAD }
-
-    /** A set-up that waits for its answer. */
-    private record SetUp(Channel channel, SipMessage message) { }
-
-    /** A call that stands, and the connection of its set-up. */
-    private record Standing(int softswitch, Channel channel) { }
-
-    /** The release of a call, for its softswitch. */
+    /** Shares of the set-ups that are rejected: processor full, line busy. */
+    private static final double PROCESSOR_FULL_SHARE = 0.04;
+    private static final double LINE_BUSY_SHARE = 0.02;
+    private static final long MIN_ANSWER_DELAY_MICROS = 3_000;
+    private static final long ANSWER_DELAY_RANGE_MICROS = 50_000;
+    private static final long LATE_ANSWER_DELAY_MICROS = 700_000;
+    private static final long REPORT_DELAY_MICROS = 100_000;
+    /** A release written less than this time before its connection ended may not have been received. */
+    private static final long CROSSING_WINDOW_MICROS = 50_000;
+    private static final int MAX_SENT_RELEASES = 1_024;
+    private static final double COLD_CAPACITY_SHARE = 0.3;
+    private static final long WARM_UP_MICROS = 14_000_000;
+
+    /** How the process handles incoming messages. */
+    private enum State { SERVING, HANGING, STOPPED }
+
+    /** A set-up that has not been answered yet. */
+    private record PendingSetUp(Channel channel, SipMessage message) { }
+
+    /** An established call, and the connection on which its set-up arrived. */
+    private record EstablishedCall(int softswitch, Channel channel) { }
+
+    /** The release of a call, addressed to its softswitch. */
     private record Release(int softswitch, int cause) { }
 
-    /** A release that was written. */
-    private record Sent(String call, Channel channel, long at) { }
+    /** A release that was written to a connection; {@code sentAt} in microseconds. */
+    private record SentRelease(String call, Channel channel, long sentAt) { }
 
-    /** A message that came in while the process hung. */
-    private record Unread(Channel channel, SipMessage message) { }
+    /** A message that arrived while the process was hanging. */
+    private record DeferredMessage(Channel channel, SipMessage message) { }
 
     private final Loop loop;
     private final String uid;
-    /** Who had this address before; null for nobody. */
+    /** The exchange that used this address before; null if there was none. */
     private final String predecessor;
     private final int place;
-    /** The networks to this exchange, one for each softswitch. */
+    /** The networks to this exchange, one per softswitch. */
     private final List<FaultProxy> proxies;
     private final Schedule.Deployment deployment;
     private final SplittableRandom random;
     private final TrialLog log;
     private final Judge judge;
-    /** One for each softswitch, by which it is known who connects. */
+    /** One listener per softswitch, so that the listener identifies the softswitch that connects. */
     private final List<Channel> listeners = new ArrayList<>();
     private final long startedAt;
     private final boolean cold;
-    /** Its connections, each with the softswitch that opened it. */
+    /** The open connections, each with the softswitch that opened it. */
     private final Map<Channel, Integer> channels = new LinkedHashMap<>();
-    private final Map<String, SetUp> setUps = new HashMap<>();
-    private final Map<String, Standing> standing = new LinkedHashMap<>();
-    /** Releases that are said again on the next connection of the softswitch, by call. */
-    private final Map<String, Release> toSayAgain = new LinkedHashMap<>();
-    private final List<Unread> unread = new ArrayList<>();
+    private final Map<String, PendingSetUp> pendingSetUps = new HashMap<>();
+    private final Map<String, EstablishedCall> establishedCalls = new LinkedHashMap<>();
+    /** Releases that are repeated on the next connection of the softswitch, by call. */
+    private final Map<String, Release> releasesToRepeat = new LinkedHashMap<>();
+    private final List<DeferredMessage> deferredMessages = new ArrayList<>();
     private final Set<String> arrivedWhileHanging = new HashSet<>();
-    /** The last releases, in the order of their times. */
-    private final ArrayDeque<Sent> sentReleases = new ArrayDeque<>();
-    private final Set<Integer> changed = new HashSet<>();
+    /** The most recent releases, oldest first. */
+    private final ArrayDeque<SentRelease> sentReleases = new ArrayDeque<>();
+    /** Softswitches for which a state report is scheduled. */
+    private final Set<Integer> pendingReports = new HashSet<>();
     private State state = State.SERVING;
-    private boolean spoils;
+    private boolean faultyAnswers;
 
     /**
-     * Listens at a free port for each softswitch, and lets the proxies pass on to them.
+     * Listens on a free port per softswitch, and makes the proxies forward to these ports.
      *
-     * @param predecessor who had this address before, to whom softswitches that know no better send; null for
-     *     nobody
-     * @param cold whether it has just been started, and bears less for a while
+     * @param predecessor the exchange that used this address before, to which softswitches with an outdated list of
+     *     exchanges still send; null if there was none
+     * @param place number of the exchange in the network
+     * @param cold whether the process has just been started, and has a reduced capacity for a while
      */
     ExchangeStandIn(Loop loop, String uid, String predecessor, int place, List<FaultProxy> proxies,
             Schedule.Deployment deployment, SplittableRandom random, TrialLog log, Judge judge, boolean cold)
@@ -130,7 +132,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        opened(channel, softswitch);
+                        connectionOpened(channel, softswitch);
                     }
                 })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).addListener(judge::bound)
@@ -145,77 +147,78 @@
         return place;
     }
 
-    /** When it was started in Unix milliseconds; 0 for long ago. */
+    /** Returns the start time of a cold process in Unix milliseconds; 0 if the process is warm. */
     long startedMs() {
         return cold ? startedAt / 1_000 : 0;
     }
 
     // Faults.
 
-    /** Its machine has vanished: its calls are over, and it can tell nobody. The proxy is blackholed before. */
+    /** Ends all calls without a release, as after a loss of the machine. The proxy is blackholed beforehand. */
     void vanish() {
-        state = State.DEAD;
-        List.copyOf(standing.keySet()).forEach(call -> judge.over(call, uid));
-        standing.clear();
-        setUps.clear();
+        state = State.STOPPED;
+        List.copyOf(establishedCalls.keySet()).forEach(call -> judge.over(call, uid));
+        establishedCalls.clear();
+        pendingSetUps.clear();
     }
 
-    /** Its process has died; the proxy resets its connections. */
+    /** Simulates a crash of the process; the proxy resets its connections. */
     void crash() {
         vanish();
         listeners.forEach(Channel::close);
     }
 
-    /** Its process takes connections and does nothing more. */
+    /** Makes the process hang: it accepts connections, and does nothing else. */
     void hang() {
         state = State.HANGING;
     }
 
-    /** Its process goes on where it hung. */
+    /** Resumes a hanging process, which first handles the messages that arrived in the meantime. */
     void wake() {
         if (state != State.HANGING) {
             return;
         }
         state = State.SERVING;
-        Map.copyOf(channels).forEach(this::greet);
-        List<Unread> came = List.copyOf(unread);
-        unread.clear();
-        came.stream().filter(u -> u.channel().isActive()).forEach(u -> received(u.channel(), u.message()));
-        List.copyOf(standing.keySet()).stream().filter(judge::isOver).forEach(call -> release(call, NORMAL));
+        Map.copyOf(channels).forEach(this::sendInitialMessages);
+        List<DeferredMessage> messages = List.copyOf(deferredMessages);
+        deferredMessages.clear();
+        messages.stream().filter(u -> u.channel().isActive()).forEach(u -> received(u.channel(), u.message()));
+        List.copyOf(establishedCalls.keySet()).stream().filter(judge::isOver)
+                .forEach(call -> release(call, CAUSE_NORMAL_CLEARING));
     }
 
-    /** It is stopped in good order, after a drain: calls that still stand are cut. */
+    /** Stops the process after a drain; calls that are still established are released. */
     void stop() {
         if (state == State.SERVING) {
-            List.copyOf(standing.keySet()).forEach(call -> release(call, CUT));
+            List.copyOf(establishedCalls.keySet()).forEach(call -> release(call, CAUSE_TEMPORARY_FAILURE));
         }
-        // What is written goes out first.
-        loop.at(loop.now() + LEAST_ANSWER_DELAY, () -> {
+        // Leaves time for the written releases to be sent.
+        loop.at(loop.now() + MIN_ANSWER_DELAY_MICROS, () -> {
             close();
         });
     }
 
     void spoilsAnswers(boolean on) {
-        spoils = on;
+        faultyAnswers = on;
     }
 
-    /** Ends all sockets. */
+    /** Stops the process and closes all sockets. */
     void close() {
-        state = State.DEAD;
+        state = State.STOPPED;
         listeners.forEach(Channel::close);
         List.copyOf(channels.keySet()).forEach(Channel::close);
     }
 
     // Connections.
 
-    private void opened(Channel channel, int softswitch) {
+    private void connectionOpened(Channel channel, int softswitch) {
         channel.pipeline().addLast(new MessageHandler<>("stand-in exchange " + uid, new SipDecoder(), this));
         channels.put(channel, softswitch);
-        loop.execute(() -> greet(channel, softswitch));
+        loop.execute(() -> sendInitialMessages(channel, softswitch));
     }
 
-    /** What comes first on each connection: the group's state, and the releases that may not have been heard. */
-    private void greet(Channel channel, int softswitch) {
+    /** Sends the state of the group of circuits, and the releases that may not have been received. */
+    private void sendInitialMessages(Channel channel, int softswitch) {
         if (state != State.SERVING) {
             return;
         }
@@ -223,14 +226,14 @@
         if (!proxies.get(softswitch).reachable()) {
             return;
         }
-        for (Map.Entry<String, Release> again : List.copyOf(toSayAgain.entrySet())) {
-            if (again.getValue().softswitch() == softswitch) {
+        for (Map.Entry<String, Release> entry : List.copyOf(releasesToRepeat.entrySet())) {
+            if (entry.getValue().softswitch() == softswitch) {
                 if (proxies.get(softswitch).reliable()) {
-                    toSayAgain.remove(again.getKey());
+                    releasesToRepeat.remove(entry.getKey());
                 }
-                log.add(uid, again.getKey(), "release said again");
-                sayReleased(softswitch, again.getKey());
-                send(channel, bye(again.getKey(), again.getValue().cause()));
+                log.add(uid, entry.getKey(), "release repeated");
+                reportRelease(softswitch, entry.getKey());
+                send(channel, bye(entry.getKey(), entry.getValue().cause()));
             }
         }
     }
@@ -239,11 +242,11 @@
         send(channel, SipMessage.request("NOTIFY", "sip:group@net").with("X-Gauges", gauges(softswitch)));
     }
 
-    /** The group toward a softswitch has changed: it is told soon, several changes in one. */
-    private void groupChanged(int softswitch) {
-        if (changed.add(softswitch)) {
-            loop.at(loop.now() + REPORT_DELAY, () -> {
-                changed.remove(softswitch);
+    /** Schedules a report of the group's state to a softswitch, which combines the changes up to then. */
+    private void scheduleStateReport(int softswitch) {
+        if (pendingReports.add(softswitch)) {
+            loop.at(loop.now() + REPORT_DELAY_MICROS, () -> {
+                pendingReports.remove(softswitch);
                 if (state == State.SERVING) {
                     channels.forEach((channel, of) -> {
                         if (of == softswitch) {
@@ -256,18 +259,18 @@
     }
 
     private String gauges(int softswitch) {
-        long busy = standing.values().stream().filter(call -> call.softswitch() == softswitch).count();
-        return "idle:" + (CIRCUITS - busy) + ";circuits:" + CIRCUITS + ";backlog:" + setUps.size()
+        long busy = establishedCalls.values().stream().filter(call -> call.softswitch() == softswitch).count();
+        return "idle:" + (CIRCUITS - busy) + ";circuits:" + CIRCUITS + ";backlog:" + pendingSetUps.size()
                 + ";max_rate:" + (long) capacity();
     }
 
-    /** Set-ups a second that it can take now. */
+    /** Returns the current capacity in set-ups per second. */
     private double capacity() {
         if (!cold) {
             return deployment.capacity();
         }
-        double warmth = Math.min(1, (loop.now() - startedAt) / (double) COLD);
-        return deployment.capacity() * (COLD_SHARE + (1 - COLD_SHARE) * warmth);
+        double warmedUpShare = Math.min(1, (loop.now() - startedAt) / (double) WARM_UP_MICROS);
+        return deployment.capacity() * (COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * warmedUpShare);
     }
 
     private void send(Channel channel, SipMessage message) {
@@ -280,14 +283,14 @@
     @Override
     public void ended(Channel channel, CloseReason reason) {
         channels.remove(channel);
-        List<Sent> crossed = sentReleases.stream()
-                .filter(s -> s.channel() == channel && s.at() + CROSSING >= loop.now()).toList();
-        crossed.forEach(s -> judge.unsent(s.call()));
-        unread.stream().filter(u -> u.channel() == channel && "INVITE".equals(u.message().method()))
+        List<SentRelease> unconfirmed = sentReleases.stream()
+                .filter(s -> s.channel() == channel && s.sentAt() + CROSSING_WINDOW_MICROS >= loop.now()).toList();
+        unconfirmed.forEach(s -> judge.unsent(s.call()));
+        deferredMessages.stream().filter(u -> u.channel() == channel && "INVITE".equals(u.message().method()))
                 .forEach(u -> judge.attemptReset(u.message().callId()));
-        for (Map.Entry<String, SetUp> open : List.copyOf(setUps.entrySet())) {
+        for (Map.Entry<String, PendingSetUp> open : List.copyOf(pendingSetUps.entrySet())) {
             if (open.getValue().channel() == channel) {
-                setUps.remove(open.getKey());
+                pendingSetUps.remove(open.getKey());
                 log.add(uid, open.getKey(), "set-up lost with its connection");
                 judge.attemptReset(open.getKey());
             }
@@ -298,11 +301,11 @@
 
     @Override
     public void received(Channel channel, SipMessage message) {
-        if (state == State.DEAD) {
+        if (state == State.STOPPED) {
             return;
         }
         if (state == State.HANGING) {
-            unread.add(new Unread(channel, message));
+            deferredMessages.add(new DeferredMessage(channel, message));
             if (message.isRequest() && message.method().equals("INVITE")) {
                 arrivedWhileHanging.add(message.callId());
                 arrived(message);
@@ -314,16 +317,17 @@
         switch (message.isRequest() ? message.method() : "") {
             case "INVITE" -> invite(channel, message);
             case "CANCEL" -> {
-                setUps.remove(message.callId());
+                pendingSetUps.remove(message.callId());
                 log.add(uid, message.callId(), "CANCEL");
                 judge.attemptGivenUp(message.callId());
             }
             case "BYE" -> {
-                boolean stood = standing.remove(message.callId()) != null;
-                if (stood) {
-                    groupChanged(channels.getOrDefault(channel, 0));
+                boolean wasEstablished = establishedCalls.remove(message.callId()) != null;
+                if (wasEstablished) {
+                    scheduleStateReport(channels.getOrDefault(channel, 0));
                 }
-                log.add(uid, message.callId(), "BYE from the softswitch" + (stood ? "" : ", the call does not stand"));
+                log.add(uid, message.callId(),
+                        "BYE from the softswitch" + (wasEstablished ? "" : ", the call is not established"));
                 judge.releasedBySoftswitch(message.callId());
                 send(channel, message.reply(200, "OK"));
             }
@@ -336,7 +340,7 @@
                 + message.header("X-Deadline"));
         judge.attemptArrived(message.callId(), uid, predecessor, place,
                 SipMessage.number(message.header("X-Deadline")) * 1_000,
-                cold && loop.now() < startedAt + COLD ? capacity() : 0);
+                cold && loop.now() < startedAt + WARM_UP_MICROS ? capacity() : 0);
     }
 
     private void invite(Channel channel, SipMessage message) {
@@ -344,14 +348,14 @@
             arrived(message);
         }
         String call = message.callId();
-        setUps.put(call, new SetUp(channel, message));
-        long delay = LEAST_ANSWER_DELAY + (long) (random.nextDouble() * ANSWER_DELAY)
-                + (spoils && random.nextInt(3) == 0 ? LATE_ANSWER : 0);
+        pendingSetUps.put(call, new PendingSetUp(channel, message));
+        long delay = MIN_ANSWER_DELAY_MICROS + (long) (random.nextDouble() * ANSWER_DELAY_RANGE_MICROS)
+                + (faultyAnswers && random.nextInt(3) == 0 ? LATE_ANSWER_DELAY_MICROS : 0);
         double draw = random.nextDouble();
         loop.at(loop.now() + delay, () -> {
-            if (draw < FULL_SHARE) {
+            if (draw < PROCESSOR_FULL_SHARE) {
                 reject(call, 503, "swamped");
-            } else if (draw < FULL_SHARE + BUSY_SHARE) {
+            } else if (draw < PROCESSOR_FULL_SHARE + LINE_BUSY_SHARE) {
                 reject(call, 486, "occupied");
             } else {
                 answer(call);
@@ -360,7 +364,7 @@
     }
 
     private void reject(String call, int status, String outcome) {
-        SetUp setUp = state == State.SERVING ? setUps.remove(call) : null;
+        PendingSetUp setUp = state == State.SERVING ? pendingSetUps.remove(call) : null;
         if (setUp != null) {
             log.add(uid, call, "answers " + status);
             judge.attemptRejected(call);
@@ -370,7 +374,7 @@
     }
 
     private void answer(String call) {
-        SetUp setUp = state == State.SERVING ? setUps.remove(call) : null;
+        PendingSetUp setUp = state == State.SERVING ? pendingSetUps.remove(call) : null;
         if (setUp == null) {
             return;
         }
@@ -378,12 +382,12 @@
         int softswitch = channels.getOrDefault(setUp.channel(), 0);
         SipMessage answer = setUp.message().reply(200, "OK").with("X-Gauges", gauges(softswitch))
                 .withBody(description.getBytes(StandardCharsets.ISO_8859_1));
-        int spoilt = spoils ? random.nextInt(4) : -1;
-        log.add(uid, call, "answers 200" + (spoilt >= 0 ? " spoilt=" + spoilt : ""));
+        int answerFault = faultyAnswers ? random.nextInt(4) : -1;
+        log.add(uid, call, "answers 200" + (answerFault >= 0 ? " spoilt=" + answerFault : ""));
         judge.attemptAnswered(call, uid, description);
-        standing.put(call, new Standing(softswitch, setUp.channel()));
-        groupChanged(softswitch);
-        switch (spoilt) {
+        establishedCalls.put(call, new EstablishedCall(softswitch, setUp.channel()));
+        scheduleStateReport(softswitch);
+        switch (answerFault) {
             case 0 -> setUp.channel().writeAndFlush(Unpooled.wrappedBuffer(
                     "SIP/2.0 2x0 ??\r\n\u0001\r\n".getBytes(StandardCharsets.ISO_8859_1)));
             case 1 -> {
@@ -396,13 +400,13 @@
         loop.at(loop.now() + holding, () -> end(call));
     }
 
-    /** The call has come to its end; a process that hangs or is cut off cannot say so. */
+    /** Ends a call after its holding time; a process that hangs or is cut off cannot send the release. */
     private void end(String call) {
-        if (!standing.containsKey(call)) {
+        if (!establishedCalls.containsKey(call)) {
             return;
         }
         if (state == State.SERVING) {
-            release(call, NORMAL);
+            release(call, CAUSE_NORMAL_CLEARING);
         } else {
             log.add(uid, call, "is over while its exchange hangs");
             judge.over(call, uid);
@@ -410,28 +414,31 @@
     }
 
     private void release(String id, int cause) {
-        Standing call = standing.remove(id);
-        groupChanged(call.softswitch());
-        toSayAgain.put(id, new Release(call.softswitch(), cause));
-        Channel by = call.channel().isActive() ? call.channel() : channels.entrySet().stream()
+        EstablishedCall call = establishedCalls.remove(id);
+        scheduleStateReport(call.softswitch());
+        releasesToRepeat.put(id, new Release(call.softswitch(), cause));
+        Channel target = call.channel().isActive() ? call.channel() : channels.entrySet().stream()
                 .filter(c -> c.getValue() == call.softswitch() && c.getKey().isActive()).map(Map.Entry::getKey)
                 .findFirst().orElse(null);
-        if (by == null || !proxies.get(call.softswitch()).reachable()) {
+        if (target == null || !proxies.get(call.softswitch()).reachable()) {
             log.add(uid, id, "is over, its release cannot be sent");
             judge.over(id, uid);
         } else {
             log.add(uid, id, "release cause=" + cause);
-            sayReleased(call.softswitch(), id);
-            sentReleases.add(new Sent(id, by, loop.now()));
-            if (sentReleases.size() > MOST_SENT) {
+            reportRelease(call.softswitch(), id);
+            sentReleases.add(new SentRelease(id, target, loop.now()));
+            if (sentReleases.size() > MAX_SENT_RELEASES) {
                 sentReleases.remove();
             }
-            send(by, bye(id, cause));
+            send(target, bye(id, cause));
         }
     }
 
-    /** A release goes out; one on a connection that is reset in the middle of messages may not have been sent whole. */
-    private void sayReleased(int softswitch, String id) {
+    /**
+     * Reports a release to the judge. If the network resets connections in the middle of messages, the release may have
+     * been sent only in part, so only the end of the call is reported.
+     */
+    private void reportRelease(int softswitch, String id) {
         if (proxies.get(softswitch).reliable()) {
             judge.released(id, uid);
         } else {
--- a/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
+++ b/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
@@ -164,7 +164,7 @@
         loop.at(loop.now() + longestEnd(), () -> {
             if (ended.isAlive()) {
                 log.add(party(), "SIGKILL after a planned end that took too long");
-                callers.killed();
+                callers.sigkillSent();
                 ended.destroyForcibly();
             }
             startAgainSoon();
@@ -183,7 +183,7 @@
         }
         ending = true;
         log.add(party(), "SIGTERM");
-        callers.terminated();
+        callers.sigtermSent();
         process.end();
         return true;
     }
@@ -195,7 +195,7 @@
         }
         ending = true;
         log.add(party(), "SIGKILL");
-        callers.killed();
+        callers.sigkillSent();
         judge.killed(number);
         process.kill();
         startAgainSoon();
@@ -204,7 +204,7 @@
     private void startAgainSoon() {
         loop.at(loop.now() + DOWN_TIME, () -> {
             if (!over) {
-                callers.startedAgain();
+                callers.restarted();
                 start();
             }
         });
@@ -248,7 +248,7 @@
                 if (!ending) {
                     judge.processBroken(number, "crashed with exit code " + watched.exitValue());
                     ending = true;
-                    callers.killed();
+                    callers.sigkillSent();
                     startAgainSoon();
                 } else if (!List.of(0, EXIT_KILLED, EXIT_TERMINATED).contains(watched.exitValue())) {
                     judge.processBroken(number, "ended with exit code " + watched.exitValue());
