--- a/src/main/java/wingspread/testbed/soak/BadCallers.java
+++ b/src/main/java/wingspread/testbed/soak/BadCallers.java
@@ -21,14 +21,15 @@
 import wingspread.net.Loop;
 
 /**
- * Callers that the platform does not count as usual: they send what cannot be read, or hold connections and never
- * finish a request. Each is owed a refusal, an error or a close, never an answer that its call stands.
+ * Misbehaving callers outside the regular load: they send malformed input, or hold connections without ever finishing a
+ * request. The softswitch has to refuse the request, report an error or close the connection, and must never accept a
+ * call of theirs.
  */
 final class BadCallers {
-    /** How long they hold a connection at the most. */
-    private static final long LONGEST = 4_000_000;
-    private static final Pattern ENDED = Pattern.compile("\"op\":\"end\",\"call\":\"([0-9a-f]{16})\"");
-    private static final List<String> GARBAGE = List.of("nonsense\n", "{\"op\":\"offer\"\n",
+    /** Time after which these callers close their connection at the latest. */
+    private static final long MAX_HOLD_MICROS = 4_000_000;
+    private static final Pattern END_MESSAGE = Pattern.compile("\"op\":\"end\",\"call\":\"([0-9a-f]{16})\"");
+    private static final List<String> INVALID_INPUTS = List.of("nonsense\n", "{\"op\":\"offer\"\n",
             "\u0000\u0001\u0002\n",
             "{\"op\":\"offer\",\"call\":\"1\",\"with\":{\"class\":\"none\",\"left\":\"-1\"},\"desc\":\"\"}\n",
             "{\"op\":\"offer\",\"call\":\"2\",\"with\":{\"class\":\"c0\",\"left\":\"1e999\"}}\n",
@@ -37,26 +38,33 @@
 
     private BadCallers() { }
 
-    /** One that sends what cannot be read. */
+    /** Opens a connection and sends malformed input. */
     static void garbage(Loop loop, int port, SplittableRandom random, TrialLog log, String party) {
-        sendAndHold(loop, port, GARBAGE.get(random.nextInt(GARBAGE.size())), log, party, call -> { });
+        sendAndHold(loop, port, INVALID_INPUTS.get(random.nextInt(INVALID_INPUTS.size())), log, party, call -> { });
     }
 
-    /** One that never finishes a request; every other one has begun. */
+    /**
+     * Opens a connection and never finishes a request.
+     *
+     * @param number number of the caller; callers with an odd number send the beginning of a request
+     */
     static void mute(Loop loop, int port, int number, TrialLog log, String party) {
         sendAndHold(loop, port, number % 2 == 0 ? "" : "{\"op\":\"off", log, party, call -> { });
     }
 
     /**
-     * Connects, says this, and holds the connection for a while. Whatever ends a call that stands may come on it, as on
-     * any connection of a caller's: {@code over} hears of these calls.
+     * Connects, sends a text, and holds the connection for a while.
+     *
+     * @param endedCalls receives the ids of the calls whose end is reported on this connection; the softswitch may
+     *     report the end of an established call on any connection of a caller
      */
-    static void sendAndHold(Loop loop, int port, String text, TrialLog log, String party, Consumer<String> over) {
+    static void sendAndHold(Loop loop, int port, String text, TrialLog log, String party,
+            Consumer<String> endedCalls) {
         new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
                 .handler(new ChannelInitializer<NioSocketChannel>() {
                     @Override
                     protected void initChannel(NioSocketChannel channel) {
-                        channel.pipeline().addLast(new Listener(log, party, over));
+                        channel.pipeline().addLast(new ResponseReader(log, party, endedCalls));
                     }
                 })
                 .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
@@ -64,12 +72,12 @@
                     if (f.isSuccess()) {
                         Channel channel = f.channel();
                         channel.writeAndFlush(Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.ISO_8859_1)));
-                        loop.at(loop.now() + LONGEST, channel::close);
+                        loop.at(loop.now() + MAX_HOLD_MICROS, channel::close);
                     }
                 });
     }
 
-    /** Connects, says this, and closes with it. */
+    /** Connects, sends a text, and closes the connection as soon as the text is written. */
     static void sendAndClose(Loop loop, int port, String text) {
         new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
                 .handler(new ChannelInboundHandlerAdapter())
@@ -82,14 +90,14 @@
                 });
     }
 
-    /** Hears what it is told. */
-    private static final class Listener extends ChannelInboundHandlerAdapter {
+    /** Reads the softswitch's messages, and records each accepted call, which would be a fault. */
+    private static final class ResponseReader extends ChannelInboundHandlerAdapter {
         private final TrialLog log;
         private final String party;
-        private final Consumer<String> over;
+        private final Consumer<String> endedCalls;
 
-        Listener(TrialLog log, String party, Consumer<String> over) {
-            this.over = over;
+        ResponseReader(TrialLog log, String party, Consumer<String> endedCalls) {
+            this.endedCalls = endedCalls;
             this.log = log;
             this.party = party;
         }
@@ -99,12 +107,12 @@
             ByteBuf bytes = (ByteBuf) in;
             String text = bytes.toString(StandardCharsets.ISO_8859_1);
             bytes.release();
-            Matcher ended = ENDED.matcher(text);
+            Matcher ended = END_MESSAGE.matcher(text);
             while (ended.find()) {
-                over.accept(ended.group(1));
+                endedCalls.accept(ended.group(1));
             }
             if (text.contains("\"accept\"")) {
-                log.add(party, "a bad caller is told that its call stands: " + text.strip());
+                log.add(party, "a bad caller's call is accepted: " + text.strip());
             }
         }
 
--- a/src/main/java/wingspread/testbed/soak/DirectoryStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/DirectoryStandIn.java
@@ -31,37 +31,37 @@
 import wingspread.testbed.Ports;
 
 /**
- * The directory that one softswitch asks, over UDP and TCP at one port, which can answer wrongly in several ways. It
- * can move to another port; the old one then answers no longer. Confined to the loop.
+ * Stand-in for the directory that one softswitch queries over UDP and TCP on the same port. It can answer incorrectly
+ * in several ways, and can move to another port, after which the old port no longer answers. Confined to the loop.
  */
 final class DirectoryStandIn {
-    private static final int HEADER = 12;
-    private static final int LONGEST = 65_535;
-    private static final int MOST_UDP = 8_000;
-    /** Answers that are marked as truncated hold no more bytes than this. */
-    private static final int TRUNCATED_TO = 300;
-    private static final int MOST_EARLIER = 8;
-    private static final int SERVER_FAILURE = 2;
-
-    /** How it answers. */
+    private static final int HEADER_BYTES = 12;
+    private static final int MAX_TCP_BYTES = 65_535;
+    private static final int MAX_UDP_BYTES = 8_000;
+    /** Maximum length of answers that are marked as truncated. */
+    private static final int TRUNCATED_BYTES = 300;
+    private static final int MAX_SNAPSHOTS = 8;
+    private static final int RCODE_SERVER_FAILURE = 2;
+
+    /** How the directory answers queries. */
     enum Mode { GOOD, SILENT, LATE, CUT, TRUNCATED, OLD, WRONG_ID, ERROR }
 
-    /** The list as it was. */
-    private record Earlier(int serial, List<Named> list) { }
+    /** An earlier state of the list of exchanges. */
+    private record Snapshot(int serial, List<Named> list) { }
 
     private final Loop loop;
     private final int softswitch;
     private final TrialLog log;
     private final Judge judge;
-    private final Map<String, Named> named = new LinkedHashMap<>();
-    private final ArrayDeque<Earlier> earlier = new ArrayDeque<>();
+    private final Map<String, Named> exchanges = new LinkedHashMap<>();
+    private final ArrayDeque<Snapshot> snapshots = new ArrayDeque<>();
     private int serial = 1;
     private Mode mode = Mode.GOOD;
-    private long lateBy;
-    private Channel datagrams;
-    private Channel streams;
+    private long delayMicros;
+    private Channel udpChannel;
+    private Channel tcpChannel;
     private int port;
-    private int toldLast;
+    private int lastLoggedSerial;
 
     DirectoryStandIn(Loop loop, int softswitch, TrialLog log, Judge judge) throws IOException {
         this.loop = loop;
@@ -71,75 +71,80 @@
         open();
     }
 
-    /** Where it answers now. */
+    /** Returns the port on which the directory answers now. */
     int port() {
         return port;
     }
 
-    /** The list as it is now. */
+    /** Returns the current list of exchanges. */
     Collection<Named> list() {
-        return List.copyOf(named.values());
+        return List.copyOf(exchanges.values());
     }
 
-    /** Names an exchange, or another state of it. */
-    void name(Named one) {
-        keep();
-        named.put(one.uid(), one);
+    /** Adds an exchange, or updates its entry. */
+    void put(Named exchange) {
+        saveSnapshot();
+        exchanges.put(exchange.uid(), exchange);
     }
 
-    /** Names it no longer. */
+    /** Removes an exchange from the list. */
     void remove(String uid) {
-        keep();
-        named.remove(uid);
+        saveSnapshot();
+        exchanges.remove(uid);
     }
 
-    private void keep() {
-        earlier.add(new Earlier(serial, List.copyOf(named.values())));
-        if (earlier.size() > MOST_EARLIER) {
-            earlier.remove();
+    private void saveSnapshot() {
+        snapshots.add(new Snapshot(serial, List.copyOf(exchanges.values())));
+        if (snapshots.size() > MAX_SNAPSHOTS) {
+            snapshots.remove();
         }
         serial++;
     }
 
-    void answers(Mode how, long micros) {
-        mode = how;
-        lateBy = micros;
+    /**
+     * Sets how the directory answers from now on.
+     *
+     * @param micros delay of the answers in microseconds in the mode {@link Mode#LATE}
+     */
+    void answers(Mode newMode, long micros) {
+        mode = newMode;
+        delayMicros = micros;
     }
 
-    /** Answers at another port from now on, and no longer at this one. */
+    /** Moves to another port; the present one no longer answers. */
     void move() throws IOException {
         close();
         open();
     }
 
     void close() {
-        datagrams.close();
-        streams.close();
+        udpChannel.close();
+        tcpChannel.close();
     }
 
     private void open() throws IOException {
         port = Ports.free();
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        streams = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
+        tcpChannel = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel connection) {
-                        connection.pipeline().addLast(new LengthFieldBasedFrameDecoder(LONGEST, 0, 2, 0, 2),
-                                new LengthFieldPrepender(2), new OverTcp());
+                        connection.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_TCP_BYTES, 0, 2, 0, 2),
+                                new LengthFieldPrepender(2), new TcpHandler());
                     }
                 })
                 .bind(at).addListener(judge::bound).channel();
-        datagrams = new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
-                .handler(new DatagramHandler("stand-in directory", (ctx, question, sender) -> answer(question, MOST_UDP,
-                        bytes -> ctx.writeAndFlush(new DatagramPacket(bytes, sender)))))
+        udpChannel = new Bootstrap().group(loop.group()).channel(NioDatagramChannel.class)
+                .handler(new DatagramHandler("stand-in directory", (ctx, query, sender) -> answer(query,
+                        MAX_UDP_BYTES, bytes -> ctx.writeAndFlush(new DatagramPacket(bytes, sender)))))
                 .bind(at).addListener(judge::bound).channel();
     }
 
-    /** Answers the questions of one connection. */
-    private final class OverTcp extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Answers the queries of one TCP connection. */
+    private final class TcpHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf question) {
-            answer(ByteBufUtil.getBytes(question), LONGEST, ctx::writeAndFlush);
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf query) {
+            answer(ByteBufUtil.getBytes(query), MAX_TCP_BYTES, ctx::writeAndFlush);
         }
 
         @Override
@@ -148,53 +153,53 @@
         }
     }
 
-    /** Sends an answer. */
-    private interface Sender {
+    /** Sends an answer to the client that made the query. */
+    private interface ResponseSender {
         void send(ByteBuf answer);
     }
 
-    private void answer(byte[] question, int most, Sender sender) {
-        if (question.length < HEADER || mode == Mode.SILENT) {
+    private void answer(byte[] query, int maxBytes, ResponseSender sender) {
+        if (query.length < HEADER_BYTES || mode == Mode.SILENT) {
             return;
         }
-        Earlier old = mode == Mode.OLD && !earlier.isEmpty() ? earlier.peek() : null;
-        boolean overUdp = most == MOST_UDP;
-        byte[] answer = old != null ? NameServer.answer(question, old.serial(), old.list(), most)
-                : NameServer.answer(question, serial, named.values(),
-                        mode == Mode.TRUNCATED && overUdp ? TRUNCATED_TO : most);
-        boolean good = old == null;
+        Snapshot staleList = mode == Mode.OLD && !snapshots.isEmpty() ? snapshots.peek() : null;
+        boolean overUdp = maxBytes == MAX_UDP_BYTES;
+        byte[] answer = staleList != null ? NameServer.answer(query, staleList.serial(), staleList.list(), maxBytes)
+                : NameServer.answer(query, serial, exchanges.values(),
+                        mode == Mode.TRUNCATED && overUdp ? TRUNCATED_BYTES : maxBytes);
+        boolean isCorrect = staleList == null;
         switch (mode) {
             case CUT -> {
                 answer = Arrays.copyOf(answer, answer.length / 2);
-                good = false;
+                isCorrect = false;
             }
             case WRONG_ID -> {
                 answer[0] ^= 0x55;
-                good = false;
+                isCorrect = false;
             }
             case ERROR -> {
-                answer[3] |= SERVER_FAILURE;
-                good = false;
+                answer[3] |= RCODE_SERVER_FAILURE;
+                isCorrect = false;
             }
-            default -> good &= mode != Mode.TRUNCATED || !overUdp;
+            default -> isCorrect &= mode != Mode.TRUNCATED || !overUdp;
         }
-        boolean whole = good;
-        int held = serial;
+        boolean countsAsDelivered = isCorrect;
+        int sentSerial = serial;
         ByteBuf bytes = Unpooled.wrappedBuffer(answer);
-        int askedAt = port;
-        loop.at(loop.now() + (mode == Mode.LATE ? lateBy : 0), () -> {
-            if (whole && askedAt == port) {
-                if (held != toldLast) {
-                    toldLast = held;
-                    log.add("directory of n" + softswitch, "answers with serial " + held);
+        int queriedPort = port;
+        loop.at(loop.now() + (mode == Mode.LATE ? delayMicros : 0), () -> {
+            if (countsAsDelivered && queriedPort == port) {
+                if (sentSerial != lastLoggedSerial) {
+                    lastLoggedSerial = sentSerial;
+                    log.add("directory of n" + softswitch, "answers with serial " + sentSerial);
                 }
-                judge.listTold(softswitch, held);
+                judge.listTold(softswitch, sentSerial);
             }
             sender.send(bytes);
         });
     }
 
-    /** The number of the last event. */
+    /** Returns the serial number of the current list; each change increments it. */
     int serial() {
         return serial;
     }
--- a/src/main/java/wingspread/testbed/soak/ExchangeHost.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeHost.java
@@ -69,7 +69,7 @@
     private void tell(Readiness readiness) {
         for (int i = 0; i < softswitches.size(); i++) {
             DirectoryStandIn directory = softswitches.get(i).directory();
-            directory.name(new Named(uid(), "z" + place % deployment.zones(), place, proxies.get(i).port(), readiness,
+            directory.put(new Named(uid(), "z" + place % deployment.zones(), place, proxies.get(i).port(), readiness,
                     process.startedMs()));
             softswitches.get(i).listChanged(uid(), readiness != Readiness.READY);
         }
--- a/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
@@ -122,7 +122,7 @@
         for (int i = 0; i < proxies.size(); i++) {
             int port = Ports.free();
             listeners.add(listen(i, port));
-            proxies.get(i).serve(port);
+            proxies.get(i).forwardTo(port);
         }
     }
 
--- a/src/main/java/wingspread/testbed/soak/FaultProxy.java
+++ b/src/main/java/wingspread/testbed/soak/FaultProxy.java
@@ -30,57 +30,57 @@
 import wingspread.testbed.Ports;
 
 /**
- * The network between all softswitches and one exchange: a TCP proxy on the loopback that passes bytes on, or does to
- * them what networks and dying machines do. Confined to the loop.
+ * The network between softswitches and one exchange: a TCP proxy on the loopback that forwards bytes, or simulates the
+ * faults of networks and of crashing machines. Confined to the loop.
  */
 final class FaultProxy {
-    /** Connections that the kernel completes for a listener that accepts none are one more than this. */
-    private static final int BACKLOG = 16;
-    private static final long PIECE_PAUSE = 2_000;
-    /** A connect to a queue with room takes no longer. */
-    private static final int FILLER_CONNECT_MS = 10;
+    /** Length of the accept queue; the kernel completes one connection more than this if the listener accepts none. */
+    private static final int ACCEPT_BACKLOG = 16;
+    private static final long FRAGMENT_PAUSE_MICROS = 2_000;
+    /** Time within which a connection attempt succeeds if the accept queue has free capacity. */
+    private static final int FILLER_CONNECT_TIMEOUT_MS = 10;
 
-    /** The softswitch's words for a set-up that it gives up. */
+    /** The message with which the softswitch cancels a set-up. */
     private static final Pattern CANCEL = Pattern.compile("CANCEL [^\r\n]*\r\n(?:[^\r\n]+\r\n)*?Call-ID: (\\S+)");
 
     private final Loop loop;
     private final Judge judge;
     private final int port;
-    private final Set<Pair> pairs = new LinkedHashSet<>();
+    private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
     private final List<Socket> fillers = new ArrayList<>();
     private final Set<Integer> fillerPorts = new HashSet<>();
-    private int target;
+    private int targetPort;
     private Channel listener;
     private boolean blackholed;
-    private boolean closesEarly;
-    /** Bytes from the exchange after which a connection is reset; 0 for never. */
-    private int resetAfter;
-    /** Length of the pieces in which the exchange's bytes go on; 0 for whole. */
-    private int pieceLength;
-
-    /** One connection of a softswitch and the one to the exchange that belongs to it. */
-    private final class Pair {
-        final Channel front;
-        Channel back;
-        /** Nothing passes any longer, and neither side is told. */
-        boolean dead;
-        int sent;
-        final ArrayDeque<ByteBuf> pieces = new ArrayDeque<>();
-        boolean sending;
-
-        Pair(Channel front) {
-            this.front = front;
+    private boolean closeOnAccept;
+    /** Number of bytes from the exchange after which a connection is reset; 0 for never. */
+    private int resetAfterBytes;
+    /** Length in bytes of the fragments in which the exchange's data is forwarded; 0 for no fragmentation. */
+    private int fragmentLength;
+
+    /** A connection of a softswitch and the corresponding connection to the exchange. */
+    private final class ProxiedConnection {
+        final Channel softswitchChannel;
+        Channel exchangeChannel;
+        /** Whether data is dropped in both directions without either side being notified. */
+        boolean dropsTraffic;
+        int forwardedBytes;
+        final ArrayDeque<ByteBuf> fragments = new ArrayDeque<>();
+        boolean sendingFragment;
+
+        ProxiedConnection(Channel softswitchChannel) {
+            this.softswitchChannel = softswitchChannel;
         }
 
         void reset() {
-            resetChannel(front);
-            if (back != null) {
-                resetChannel(back);
+            resetChannel(softswitchChannel);
+            if (exchangeChannel != null) {
+                resetChannel(exchangeChannel);
             }
         }
     }
 
-    /** Listens at a free port, and passes on to where {@link #serve} says. */
+    /** Listens on a free port, and forwards to the port set by {@link #forwardTo}. */
     FaultProxy(Loop loop, Judge judge) throws IOException {
         this.loop = loop;
         this.judge = judge;
@@ -88,24 +88,24 @@
         listen();
     }
 
-    /** Where softswitches connect. */
+    /** Returns the port to which softswitches connect. */
     int port() {
         return port;
     }
 
-    /** Whether something sent now may arrive. */
+    /** Whether data sent now may arrive. */
     boolean reachable() {
         return !blackholed;
     }
 
-    /** Whether what is sent now on a connection that is up arrives whole. */
+    /** Whether data sent now on an established connection arrives completely. */
     boolean reliable() {
-        return !blackholed && resetAfter == 0;
+        return !blackholed && resetAfterBytes == 0;
     }
 
     private void listen() {
         listener = new ServerBootstrap().group(loop.group()).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.AUTO_READ, false)
@@ -121,93 +121,106 @@
 
     // Faults.
 
-    /** The exchange's machine is gone or cut off: connections fall silent for good, and new ones never come up. */
+    /**
+     * Simulates a lost or disconnected machine: present connections never transfer data again, and new ones are not
+     * established.
+     */
     void blackhole() {
         blackholed = true;
-        pairs.forEach(pair -> pair.dead = true);
+        connections.forEach(connection -> connection.dropsTraffic = true);
         holdConnects();
     }
 
-    /** New connections come up again; those of before stay silent, and the exchange sees them end. */
+    /**
+     * Lets new connections be established again. The earlier ones still transfer no data, and are closed towards the
+     * exchange.
+     */
     void heal() {
         blackholed = false;
-        pairs.stream().filter(pair -> pair.dead && pair.back != null).forEach(pair -> pair.back.close());
-        pairs.removeIf(pair -> pair.dead && !pair.front.isActive());
+        connections.stream().filter(connection -> connection.dropsTraffic && connection.exchangeChannel != null)
+                .forEach(connection -> connection.exchangeChannel.close());
+        connections.removeIf(connection -> connection.dropsTraffic && !connection.softswitchChannel.isActive());
         admitConnects();
     }
 
-    /** New connections stay away until {@link #admitConnects}; those that are up are not touched. */
+    /** Blocks new connections until {@link #admitConnects}; established connections are not affected. */
     void holdConnects() {
         listener.config().setAutoRead(false);
-        // A listener whose queue is full drops further connects, as a machine does that is not there.
-        for (int i = fillers.size(); i <= BACKLOG; i++) {
+        // A listener with a full accept queue drops further connection attempts, as if the machine did not exist.
+        for (int i = fillers.size(); i <= ACCEPT_BACKLOG; i++) {
             Socket filler = new Socket();
             fillers.add(filler);
             try {
-                filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), FILLER_CONNECT_MS);
+                filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        FILLER_CONNECT_TIMEOUT_MS);
                 fillerPorts.add(filler.getLocalPort());
             } catch (SocketTimeoutException e) {
-                // Connections of softswitches wait as well: the queue is full.
+                // The queue is full, so the softswitches' connection attempts wait as well.
                 return;
             } catch (IOException e) {
-                throw new SoakException("the proxy's queue cannot be filled: " + e.getMessage());
+                throw new SoakException("cannot fill the proxy's accept queue: " + e.getMessage());
             }
         }
     }
 
+    /** Accepts new connections again after {@link #holdConnects}. */
     void admitConnects() {
         for (Socket filler : fillers) {
             try {
                 filler.close();
             } catch (IOException e) {
-                throw new SoakException("the proxy's queue cannot be emptied: " + e.getMessage());
+                throw new SoakException("cannot empty the proxy's accept queue: " + e.getMessage());
             }
         }
         fillers.clear();
         listener.config().setAutoRead(true);
     }
 
-    /** The exchange's process is dead: connections are reset and new ones refused. */
+    /** Simulates a crashed process: established connections are reset and new ones refused. */
     void refuse() {
         admitConnects();
         listener.close();
         reset();
     }
 
-    /** A process listens again, at this port behind the proxy. */
-    void serve(int newTarget) {
-        target = newTarget;
+    /** Forwards new connections to a process that listens on this port, and listens again if the proxy had stopped. */
+    void forwardTo(int newTargetPort) {
+        targetPort = newTargetPort;
         if (!listener.isOpen()) {
             listen();
         }
     }
 
-    /** Connections that are up are reset. */
+    /** Resets the established connections. */
     void reset() {
-        List.copyOf(pairs).stream().filter(pair -> !pair.dead).forEach(Pair::reset);
+        List.copyOf(connections).stream().filter(connection -> !connection.dropsTraffic)
+                .forEach(ProxiedConnection::reset);
     }
 
+    /** Sets whether new connections are closed as soon as they are accepted. */
     void closesEarly(boolean on) {
-        closesEarly = on;
+        closeOnAccept = on;
     }
 
+    /** Resets each connection after this number of bytes from the exchange; 0 for never. */
     void resetsAfter(int bytes) {
-        resetAfter = bytes;
-        pairs.forEach(pair -> pair.sent = 0);
+        resetAfterBytes = bytes;
+        connections.forEach(connection -> connection.forwardedBytes = 0);
     }
 
+    /** Forwards data from the exchange in fragments of this length in bytes; 0 for no fragmentation. */
     void piecesOf(int length) {
-        pieceLength = length;
+        fragmentLength = length;
     }
 
-    /** Ends all sockets. */
+    /** Closes all sockets. */
     void close() {
         admitConnects();
         listener.close();
-        for (Pair pair : List.copyOf(pairs)) {
-            pair.front.close();
-            if (pair.back != null) {
-                pair.back.close();
+        for (ProxiedConnection connection : List.copyOf(connections)) {
+            connection.softswitchChannel.close();
+            if (connection.exchangeChannel != null) {
+                connection.exchangeChannel.close();
             }
         }
     }
@@ -219,63 +232,63 @@
 
     // Connections.
 
-    private void accept(SocketChannel front) {
-        if (fillerPorts.remove(front.remoteAddress().getPort())) {
-            loop.execute(front::close);
+    private void accept(SocketChannel softswitchChannel) {
+        if (fillerPorts.remove(softswitchChannel.remoteAddress().getPort())) {
+            loop.execute(softswitchChannel::close);
             return;
         }
-        if (closesEarly) {
-            loop.execute(front::close);
+        if (closeOnAccept) {
+            loop.execute(softswitchChannel::close);
             return;
         }
-        Pair pair = new Pair(front);
-        pairs.add(pair);
-        front.pipeline().addLast(new FromSoftswitch(pair));
+        ProxiedConnection connection = new ProxiedConnection(softswitchChannel);
+        connections.add(connection);
+        softswitchChannel.pipeline().addLast(new SoftswitchReader(connection));
         new Bootstrap().group(loop.group()).channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new FromExchange(pair));
+                        channel.pipeline().addLast(new ExchangeReader(connection));
                     }
                 })
-                .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), target))
+                .connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort))
                 .addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
-                        pair.back = f.channel();
-                        front.config().setAutoRead(true);
+                        connection.exchangeChannel = f.channel();
+                        softswitchChannel.config().setAutoRead(true);
                     } else {
-                        resetChannel(front);
+                        resetChannel(softswitchChannel);
                     }
                 });
     }
 
-    /** Reads what a softswitch sends. */
-    private final class FromSoftswitch extends ChannelInboundHandlerAdapter {
-        private final Pair pair;
+    /** Reads the data that a softswitch sends. */
+    private final class SoftswitchReader extends ChannelInboundHandlerAdapter {
+        private final ProxiedConnection connection;
 
-        FromSoftswitch(Pair pair) {
-            this.pair = pair;
+        SoftswitchReader(ProxiedConnection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (pair.dead || pair.back == null) {
-                seeCancels((ByteBuf) bytes);
+            if (connection.dropsTraffic || connection.exchangeChannel == null) {
+                reportCancels((ByteBuf) bytes);
                 ((ByteBuf) bytes).release();
             } else {
-                pair.back.writeAndFlush(bytes);
+                connection.exchangeChannel.writeAndFlush(bytes);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (pair.dead) {
+            if (connection.dropsTraffic) {
                 return;
             }
-            pairs.remove(pair);
-            if (pair.back != null) {
-                pair.back.close();
+            connections.remove(connection);
+            if (connection.exchangeChannel != null) {
+                connection.exchangeChannel.close();
             }
         }
 
@@ -285,50 +298,53 @@
         }
     }
 
-    /** What a softswitch gives up counts from when it says so, also where nobody hears it. */
-    private void seeCancels(ByteBuf bytes) {
-        Matcher found = CANCEL.matcher(bytes.toString(StandardCharsets.ISO_8859_1));
-        while (found.find()) {
-            judge.attemptGivenUp(found.group(1));
+    /** Reports cancelled set-ups to the judge: they count from the time of the CANCEL, even if it is not delivered. */
+    private void reportCancels(ByteBuf bytes) {
+        Matcher cancels = CANCEL.matcher(bytes.toString(StandardCharsets.ISO_8859_1));
+        while (cancels.find()) {
+            judge.attemptGivenUp(cancels.group(1));
         }
     }
 
-    /** Reads what the exchange sends. */
-    private final class FromExchange extends ChannelInboundHandlerAdapter {
-        private final Pair pair;
+    /** Reads the data that the exchange sends. */
+    private final class ExchangeReader extends ChannelInboundHandlerAdapter {
+        private final ProxiedConnection connection;
 
-        FromExchange(Pair pair) {
-            this.pair = pair;
+        ExchangeReader(ProxiedConnection connection) {
+            this.connection = connection;
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object in) {
-            ByteBuf bytes = (ByteBuf) in;
-            if (pair.dead) {
+        public void channelRead(ChannelHandlerContext ctx, Object input) {
+            ByteBuf bytes = (ByteBuf) input;
+            if (connection.dropsTraffic) {
                 bytes.release();
                 return;
             }
-            pair.sent += bytes.readableBytes();
-            if (resetAfter > 0 && pair.sent > resetAfter) {
-                int cut = Math.max(0, bytes.readableBytes() - (pair.sent - resetAfter));
-                pair.front.writeAndFlush(bytes.readSlice(cut)).addListener(f -> pair.reset());
+            connection.forwardedBytes += bytes.readableBytes();
+            if (resetAfterBytes > 0 && connection.forwardedBytes > resetAfterBytes) {
+                int bytesBeforeReset =
+                        Math.max(0, bytes.readableBytes() - (connection.forwardedBytes - resetAfterBytes));
+                connection.softswitchChannel.writeAndFlush(bytes.readSlice(bytesBeforeReset))
+                        .addListener(f -> connection.reset());
                 return;
             }
-            if (pieceLength == 0 && !pair.sending) {
-                pair.front.writeAndFlush(bytes);
+            if (fragmentLength == 0 && !connection.sendingFragment) {
+                connection.softswitchChannel.writeAndFlush(bytes);
                 return;
             }
             while (bytes.isReadable()) {
-                pair.pieces.add(bytes.readRetainedSlice(Math.min(bytes.readableBytes(), Math.max(1, pieceLength))));
+                connection.fragments.add(
+                        bytes.readRetainedSlice(Math.min(bytes.readableBytes(), Math.max(1, fragmentLength))));
             }
             bytes.release();
-            sendPiece(pair);
+            sendNextFragment(connection);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!pair.dead && !pair.sending) {
-                pair.front.close();
+            if (!connection.dropsTraffic && !connection.sendingFragment) {
+                connection.softswitchChannel.close();
             }
         }
 
@@ -338,21 +354,22 @@
         }
     }
 
-    private void sendPiece(Pair pair) {
-        if (pair.sending || pair.pieces.isEmpty()) {
+    private void sendNextFragment(ProxiedConnection connection) {
+        if (connection.sendingFragment || connection.fragments.isEmpty()) {
             return;
         }
-        pair.sending = true;
-        if (pair.dead) {
-            pair.pieces.remove().release();
+        connection.sendingFragment = true;
+        if (connection.dropsTraffic) {
+            connection.fragments.remove().release();
         } else {
-            pair.front.writeAndFlush(pair.pieces.remove());
+            connection.softswitchChannel.writeAndFlush(connection.fragments.remove());
         }
-        loop.at(loop.now() + PIECE_PAUSE, () -> {
-            pair.sending = false;
-            sendPiece(pair);
-            if (pair.pieces.isEmpty() && pair.back != null && !pair.back.isActive() && !pair.dead) {
-                pair.front.close();
+        loop.at(loop.now() + FRAGMENT_PAUSE_MICROS, () -> {
+            connection.sendingFragment = false;
+            sendNextFragment(connection);
+            if (connection.fragments.isEmpty() && connection.exchangeChannel != null
+                    && !connection.exchangeChannel.isActive() && !connection.dropsTraffic) {
+                connection.softswitchChannel.close();
             }
         });
     }
