--- a/src/main/java/wingspread/testbed/soak/CallerStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/CallerStandIn.java
@@ -116,6 +116,7 @@
         offering = false;
     }
 
+    /** Switches a misbehaviour on or off. */
     void habit(Habit habit, boolean on) {
         misbehaviours.put(habit, on);
     }
--- a/src/main/java/wingspread/testbed/soak/ExchangeHost.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeHost.java
@@ -9,8 +9,8 @@
 import wingspread.testbed.NameServer.Named;
 
 /**
- * The place of one exchange: the process that serves there now, the networks to it, and what the directories of all
- * softswitches say of it. Confined to the loop.
+ * The host of one exchange: its present process, the networks to it, and its entries in the directories of all
+ * softswitches. Confined to the loop.
  */
 final class ExchangeHost {
     private final Loop loop;
@@ -23,7 +23,7 @@
     private final List<SoftswitchHost> softswitches;
     private ExchangeStandIn process;
     private int incarnation;
-    /** Something more than a passing trouble of the network is under way. */
+    /** Whether the exchange is draining, crashed or lost, and its next process has not started yet. */
     private boolean down;
 
     ExchangeHost(Loop loop, int place, Schedule.Deployment deployment, List<SoftswitchHost> softswitches,
@@ -38,8 +38,8 @@
         for (int i = 0; i < softswitches.size(); i++) {
             proxies.add(new FaultProxy(loop, judge));
         }
-        begin(false);
-        tell(Readiness.READY);
+        startProcess(false);
+        publish(Readiness.READY);
     }
 
     List<FaultProxy> proxies() {
@@ -58,15 +58,15 @@
         return down;
     }
 
-    private void begin(boolean cold) throws IOException {
+    private void startProcess(boolean cold) throws IOException {
         String predecessor = process == null ? null : process.uid();
         process = new ExchangeStandIn(loop, "s-" + place + "-" + incarnation, predecessor, place, proxies, deployment,
                 random.split(), log, judge, cold);
         log.add(uid(), "starts" + (cold ? ", cold" : ""));
     }
 
-    /** All directories name it with this state. */
-    private void tell(Readiness readiness) {
+    /** Publishes the exchange with this readiness in all directories. */
+    private void publish(Readiness readiness) {
         for (int i = 0; i < softswitches.size(); i++) {
             DirectoryStandIn directory = softswitches.get(i).directory();
             directory.put(new Named(uid(), "z" + place % deployment.zones(), place, proxies.get(i).port(), readiness,
@@ -76,17 +76,24 @@
         log.add("directory", uid() + " is " + readiness);
     }
 
-    private void tellGone() {
+    private void withdraw() {
         for (int i = 0; i < softswitches.size(); i++) {
             DirectoryStandIn directory = softswitches.get(i).directory();
             directory.remove(uid());
             softswitches.get(i).listChanged(uid(), true);
         }
-        log.add("directory", uid() + " has gone");
+        log.add("directory", uid() + " is removed");
     }
 
-    /** The machine vanishes; the directory knows that later, and something starts at its address. */
-    void vanish(int noticeMs, int backMs, boolean sameId) {
+    /**
+     * Simulates the loss of the machine. The directories remove the exchange later; a new process then starts at
+     * its address.
+     *
+     * @param detectionMs time in milliseconds until the exchange is removed from the directories
+     * @param restartMs time in milliseconds until a process starts again; never earlier than the removal
+     * @param sameId whether the new process has the id of the lost one
+     */
+    void vanish(int detectionMs, int restartMs, boolean sameId) {
         if (down) {
             return;
         }
@@ -94,53 +101,57 @@
         log.add(uid(), "FAULT the machine vanishes");
         proxies.forEach(FaultProxy::blackhole);
         process.vanish();
-        loop.at(loop.now() + noticeMs * 1_000L, this::tellGone);
-        loop.at(loop.now() + Math.max(noticeMs, backMs) * 1_000L, () -> {
+        loop.at(loop.now() + detectionMs * 1_000L, this::withdraw);
+        loop.at(loop.now() + Math.max(detectionMs, restartMs) * 1_000L, () -> {
             incarnation += sameId ? 0 : 1;
-            startAgain();
+            restart();
         });
     }
 
-    private void startAgain() {
-        ExchangeStandIn before = process;
+    private void restart() {
+        ExchangeStandIn predecessor = process;
         try {
-            begin(true);
+            startProcess(true);
         } catch (IOException e) {
-            throw new SoakException("an exchange cannot be started: " + e.getMessage());
+            throw new SoakException("cannot start an exchange: " + e.getMessage());
         }
         proxies.forEach(FaultProxy::heal);
-        before.close();
-        tell(Readiness.READY);
+        predecessor.close();
+        publish(Readiness.READY);
         down = false;
     }
 
-    /** The process dies and is started again, under its own id. */
-    void crash(int backMs) {
+    /** Simulates a crash of the process, which starts again under the same id after {@code restartMs} milliseconds. */
+    void crash(int restartMs) {
         if (down) {
             return;
         }
         down = true;
-        log.add(uid(), "FAULT the process dies");
+        log.add(uid(), "FAULT the process crashes");
         proxies.forEach(FaultProxy::refuse);
         process.crash();
-        loop.at(loop.now() + backMs * 1_000L, this::startAgain);
+        loop.at(loop.now() + restartMs * 1_000L, this::restart);
     }
 
-    /** It drains, goes, and is replaced. */
-    void drain(int goneMs) {
+    /**
+     * Drains the exchange, stops it, and replaces it by one with a new id.
+     *
+     * @param removalMs time in milliseconds from the drain to the stop, and from there to the start of the replacement
+     */
+    void drain(int removalMs) {
         if (down) {
             return;
         }
         down = true;
         log.add(uid(), "FAULT drains");
-        tell(Readiness.DRAINING);
-        loop.at(loop.now() + goneMs * 1_000L, () -> {
+        publish(Readiness.DRAINING);
+        loop.at(loop.now() + removalMs * 1_000L, () -> {
             process.stop();
-            tellGone();
+            withdraw();
         });
-        loop.at(loop.now() + 2L * goneMs * 1_000L, () -> {
+        loop.at(loop.now() + 2L * removalMs * 1_000L, () -> {
             incarnation++;
-            startAgain();
+            restart();
         });
     }
 
--- a/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
+++ b/src/main/java/wingspread/testbed/soak/ExchangeStandIn.java
@@ -198,6 +198,7 @@
         });
     }
 
+    /** Sets whether part of the answers are late, duplicate or malformed. */
     void spoilsAnswers(boolean on) {
         faultyAnswers = on;
     }
--- a/src/main/java/wingspread/testbed/soak/FaultProxy.java
+++ b/src/main/java/wingspread/testbed/soak/FaultProxy.java
@@ -30,8 +30,8 @@
 import wingspread.testbed.Ports;
 
 /**
- * The network between softswitches and one exchange: a TCP proxy on the loopback that forwards bytes, or simulates the
- * faults of networks and of crashing machines. Confined to the loop.
+ * The network between one softswitch and one exchange: a TCP proxy on the loopback that forwards bytes, or simulates
+ * the faults of networks and of crashing machines. Confined to the loop.
  */
 final class FaultProxy {
     /** Length of the accept queue; the kernel completes one connection more than this if the listener accepts none. */
@@ -58,7 +58,7 @@
     /** Length in bytes of the fragments in which the exchange's data is forwarded; 0 for no fragmentation. */
     private int fragmentLength;
 
-    /** A connection of a softswitch and the corresponding connection to the exchange. */
+    /** A connection of the softswitch and the corresponding connection to the exchange. */
     private final class ProxiedConnection {
         final Channel softswitchChannel;
         Channel exchangeChannel;
@@ -88,7 +88,7 @@
         listen();
     }
 
-    /** Returns the port to which softswitches connect. */
+    /** Returns the port to which the softswitch connects. */
     int port() {
         return port;
     }
@@ -155,7 +155,7 @@
                         FILLER_CONNECT_TIMEOUT_MS);
                 fillerPorts.add(filler.getLocalPort());
             } catch (SocketTimeoutException e) {
-                // The queue is full, so the softswitches' connection attempts wait as well.
+                // The queue is full, so connection attempts of the softswitch wait as well.
                 return;
             } catch (IOException e) {
                 throw new SoakException("cannot fill the proxy's accept queue: " + e.getMessage());
@@ -263,7 +263,7 @@
                 });
     }
 
-    /** Reads the data that a softswitch sends. */
+    /** Reads the data that the softswitch sends. */
     private final class SoftswitchReader extends ChannelInboundHandlerAdapter {
         private final ProxiedConnection connection;
 
--- a/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
+++ b/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
@@ -27,30 +27,35 @@
 import wingspread.testbed.SoftswitchProcess.Launch;
 
 /**
- * One softswitch of a trial: its process, the directory that it asks and its callers. Started, ended and killed as the
- * platform does it. Confined to the loop, but for what is said to wait.
+ * One softswitch of a trial: its process, the directory that it queries and its callers. The process is started,
+ * terminated and killed in the same way as by the platform. Confined to the loop, except for methods documented
+ * otherwise.
  */
 final class SoftswitchHost {
-    /** The platform's longest deadline for SIGKILL, and what it adds. */
-    private static final long LONGEST_DEADLINE = 3_000_000;
-    private static final long KILL_AFTER_DEADLINE = 700_000;
-    /** 'What the directory has to tell counts as told no later than 7 s afterwards', and 4 s after SIGHUP. */
-    private static final long TOLD_AT_LATEST = 7_000_000;
-    private static final long TOLD_AFTER_RELOAD = 4_000_000;
-    private static final long DOWN_TIME = 300_000;
-    private static final long WATCH_EVERY = 100_000;
-    private static final long READY_WITHIN = 10_000_000;
-    private static final int CONNECTIONS = 4;
-    /** The counters of all ways in which a call that was taken is answered, or needs no answer any longer. */
-    private static final List<String> ANSWERS = List.of("answered.stood", "answered.refused", "answered.failed",
-            "answered.overfull", "answered.draining", "answered.storm", "taken.repeats", "taken.given-up");
-    /** Each change of a call's state is in the log. */
+    /** Upper limit of the deadline after which the platform sends SIGKILL. */
+    private static final long MAX_KILL_DEADLINE_MICROS = 3_000_000;
+    /** Margin that the platform adds to this deadline. */
+    private static final long KILL_MARGIN_MICROS = 700_000;
+    /** Platform rule: 'What the directory has to tell counts as told no later than 7 s afterwards'. */
+    private static final long MAX_NOTIFICATION_DELAY_MICROS = 7_000_000;
+    /** Platform rule: after SIGHUP the softswitch counts as notified of the directory's list within 4 s. */
+    private static final long RELOAD_NOTIFICATION_DELAY_MICROS = 4_000_000;
+    private static final long RESTART_DELAY_MICROS = 300_000;
+    private static final long WATCH_INTERVAL_MICROS = 100_000;
+    private static final long READY_TIMEOUT_MICROS = 10_000_000;
+    private static final int CALLER_CONNECTIONS = 4;
+    /** Counters of all ways in which an accepted call is answered, or no longer needs an answer. */
+    private static final List<String> ANSWER_COUNTERS = List.of("answered.stood", "answered.refused",
+            "answered.failed", "answered.overfull", "answered.draining", "answered.storm", "taken.repeats",
+            "taken.given-up");
+    /** Makes the softswitch log each change of a call's state. */
     private static final List<String> JVM_ARGUMENTS = List.of("-Dorg.slf4j.simpleLogger.log.call=debug");
-    /** By SIGKILL, and by SIGTERM before the program hears signals: it has taken nothing by then. */
-    private static final int EXIT_KILLED = 137;
-    private static final int EXIT_TERMINATED = 143;
-    /** The JVM's own memory beside its heap: code, classes, stacks, collector, and direct buffers. */
-    private static final int MB_BESIDE_HEAP = 110;
+    /** Exit code after SIGKILL. */
+    private static final int EXIT_CODE_SIGKILL = 137;
+    /** Exit code after SIGTERM before the program has installed its signal handlers, thus before it accepts calls. */
+    private static final int EXIT_CODE_SIGTERM = 143;
+    /** Memory of the JVM in addition to its heap: code, classes, stacks, garbage collector, and direct buffers. */
+    private static final int NON_HEAP_MEMORY_MB = 110;
 
     private final Loop loop;
     private final int number;
@@ -63,10 +68,10 @@
     private final int port;
     private final SplittableRandom random;
     private long startedAt;
-    private boolean ending;
+    private boolean terminating;
     private boolean reportedUnready;
-    /** The trial is over: nothing is started again. */
-    private boolean over;
+    /** Whether the trial has ended, so that no process is started again. */
+    private boolean trialEnded;
     private int mostDescriptors;
     private int mostMemoryMb;
 
@@ -82,7 +87,8 @@
         this.process = new SoftswitchProcess(folder.resolve("n" + number), null,
                 new Launch(deployment.heapMb(), deployment.sockets(), build, JVM_ARGUMENTS));
         this.directory = new DirectoryStandIn(loop, number, log, judge);
-        this.callers = new CallerStandIn(loop, number, port, CONNECTIONS, deployment, random.split(), log, judge);
+        this.callers =
+                new CallerStandIn(loop, number, port, CALLER_CONNECTIONS, deployment, random.split(), log, judge);
     }
 
     DirectoryStandIn directory() {
@@ -103,13 +109,13 @@
 
     // Start and end.
 
-    /** Starts the process with the list as it is now. */
+    /** Starts the process with the current list of exchanges. */
     void start() {
         judge.started(number, directory.list().stream().map(Named::uid).toList());
         startedAt = loop.now();
-        ending = false;
+        terminating = false;
         reportedUnready = false;
-        offLoop(() -> {
+        runBlocking(() -> {
             configure();
             process.start();
         }, () -> {
@@ -123,22 +129,22 @@
                 directory.serial());
     }
 
-    /** Something that takes longer than the stand-ins may wait. */
-    private interface Slow {
+    /** A task that takes too long to run on the loop of the stand-ins. */
+    private interface BlockingTask {
         void run() throws IOException;
     }
 
-    /** Does it on another thread, and then something on the loop. */
-    private void offLoop(Slow slow, Runnable then) {
+    /** Runs a task on another thread, and then, if it succeeds, a continuation on the loop. */
+    private void runBlocking(BlockingTask task, Runnable continuation) {
         CompletableFuture.runAsync(() -> {
             try {
-                slow.run();
+                task.run();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-        }).whenCompleteAsync((done, failure) -> {
+        }).whenCompleteAsync((result, failure) -> {
             if (failure == null) {
-                then.run();
+                continuation.run();
             } else {
                 judge.testbedFailed(party() + ": " + failure);
             }
@@ -155,64 +161,67 @@
                 new Obligations(20_000, 500_000, 0, 0.3, 14_000_000, 2, 1_000_000));
     }
 
-    /** SIGTERM; callers go on, and SIGKILL follows at the earliest time that the platform allows. */
+    /**
+     * Sends SIGTERM while the callers continue, then SIGKILL at the earliest time that the platform allows, and starts
+     * the process again.
+     */
     void restart() {
-        Process ended = process.process();
+        Process terminatedProcess = process.process();
         if (!terminate()) {
             return;
         }
-        loop.at(loop.now() + longestEnd(), () -> {
-            if (ended.isAlive()) {
-                log.add(party(), "SIGKILL after a planned end that took too long");
+        loop.at(loop.now() + maxTerminationMicros(), () -> {
+            if (terminatedProcess.isAlive()) {
+                log.add(party(), "SIGKILL after a graceful shutdown that took too long");
                 callers.sigkillSent();
-                ended.destroyForcibly();
+                terminatedProcess.destroyForcibly();
             }
-            startAgainSoon();
+            scheduleRestart();
         });
     }
 
-    /** From SIGTERM to SIGKILL. */
-    long longestEnd() {
-        return Math.min(deployment.longestDeadline(), LONGEST_DEADLINE) + KILL_AFTER_DEADLINE;
+    /** Returns the time from SIGTERM to SIGKILL. */
+    long maxTerminationMicros() {
+        return Math.min(deployment.longestDeadline(), MAX_KILL_DEADLINE_MICROS) + KILL_MARGIN_MICROS;
     }
 
-    /** SIGTERM alone; false where the process is ending already, or down. */
+    /** Sends SIGTERM only; returns false if the process is already terminating or not running. */
     boolean terminate() {
-        if (ending || !process.alive()) {
+        if (terminating || !process.alive()) {
             return false;
         }
-        ending = true;
+        terminating = true;
         log.add(party(), "SIGTERM");
         callers.sigtermSent();
         process.end();
         return true;
     }
 
-    /** SIGKILL without a word, and a new start. */
+    /** Sends SIGKILL without a preceding SIGTERM, and starts the process again. */
     void kill() {
-        if (ending || !process.alive()) {
+        if (terminating || !process.alive()) {
             return;
         }
-        ending = true;
+        terminating = true;
         log.add(party(), "SIGKILL");
         callers.sigkillSent();
         judge.killed(number);
         process.kill();
-        startAgainSoon();
+        scheduleRestart();
     }
 
-    private void startAgainSoon() {
-        loop.at(loop.now() + DOWN_TIME, () -> {
-            if (!over) {
+    private void scheduleRestart() {
+        loop.at(loop.now() + RESTART_DELAY_MICROS, () -> {
+            if (!trialEnded) {
                 callers.restarted();
                 start();
             }
         });
     }
 
-    /** The directory moves, the configuration says so, and SIGHUP is sent. */
+    /** Moves the directory to another port, updates the configuration and sends SIGHUP. */
     void reload() {
-        if (ending || !process.alive() || !callers.ready()) {
+        if (terminating || !process.alive() || !callers.ready()) {
             return;
         }
         try {
@@ -220,55 +229,61 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        int told = directory.serial();
-        offLoop(() -> {
+        int publishedSerial = directory.serial();
+        runBlocking(() -> {
             configure();
             new ProcessBuilder("kill", "-HUP", Long.toString(process.process().pid())).start();
         }, () -> {
             log.add(party(), "SIGHUP, the directory moves to port " + directory.port());
-            loop.at(loop.now() + TOLD_AFTER_RELOAD, () -> judge.listTold(number, told));
+            loop.at(loop.now() + RELOAD_NOTIFICATION_DELAY_MICROS, () -> judge.listTold(number, publishedSerial));
         });
     }
 
-    /** The list of its directory has changed; it counts as told when it was, or some seconds later. */
-    void listChanged(String uid, boolean away) {
+    /**
+     * Reports a change of the directory's list to the judge. The softswitch counts as notified as soon as the list has
+     * been sent to it, and at the latest after a fixed delay.
+     *
+     * @param isRemovedOrDraining whether no new call may be sent to the exchange from now on
+     */
+    void listChanged(String uid, boolean isRemovedOrDraining) {
         int serial = directory.serial();
-        judge.listChanged(number, serial, uid, away);
-        loop.at(loop.now() + TOLD_AT_LATEST, () -> judge.listTold(number, serial));
+        judge.listChanged(number, serial, uid, isRemovedOrDraining);
+        loop.at(loop.now() + MAX_NOTIFICATION_DELAY_MICROS, () -> judge.listTold(number, serial));
     }
 
-    // The process as the platform sees it.
+    // Supervision of the process, as by the platform.
 
-    private void watch(Process watched) {
-        loop.at(loop.now() + WATCH_EVERY, () -> {
-            if (watched != process.process()) {
+    private void watch(Process watchedProcess) {
+        loop.at(loop.now() + WATCH_INTERVAL_MICROS, () -> {
+            if (watchedProcess != process.process()) {
                 return;
             }
-            if (!watched.isAlive()) {
-                if (!ending) {
-                    judge.processBroken(number, "crashed with exit code " + watched.exitValue());
-                    ending = true;
+            if (!watchedProcess.isAlive()) {
+                if (!terminating) {
+                    judge.processBroken(number, "crashed with exit code " + watchedProcess.exitValue());
+                    terminating = true;
                     callers.sigkillSent();
-                    startAgainSoon();
-                } else if (!List.of(0, EXIT_KILLED, EXIT_TERMINATED).contains(watched.exitValue())) {
-                    judge.processBroken(number, "ended with exit code " + watched.exitValue());
+                    scheduleRestart();
+                } else if (!List.of(0, EXIT_CODE_SIGKILL, EXIT_CODE_SIGTERM).contains(watchedProcess.exitValue())) {
+                    judge.processBroken(number, "ended with exit code " + watchedProcess.exitValue());
                 }
                 return;
             }
-            measure(watched.pid());
-            if (!ending && !reportedUnready && !callers.ready() && loop.now() > startedAt + READY_WITHIN) {
+            recordResourceUsage(watchedProcess.pid());
+            if (!terminating && !reportedUnready && !callers.ready()
+                    && loop.now() > startedAt + READY_TIMEOUT_MICROS) {
                 reportedUnready = true;
                 judge.processBroken(number, "not ready 10 s after its start");
             }
-            watch(watched);
+            watch(watchedProcess);
         });
     }
 
-    private void measure(long pid) {
+    private void recordResourceUsage(long pid) {
         try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(pid), "fd"))) {
             mostDescriptors = Math.max(mostDescriptors, (int) descriptors.count());
         } catch (IOException e) {
-            // It has just ended; the next look finds that out.
+            // The process has just ended; the next check detects that.
             return;
         }
         residentMb(pid).ifPresent(mb -> mostMemoryMb = Math.max(mostMemoryMb, mb));
@@ -283,40 +298,45 @@
         }
     }
 
-    /** Compares what was measured with the limits. */
+    /** Compares the measured use of file descriptors and memory with the limits. */
     void checkLimits() {
         if (mostDescriptors > deployment.sockets()) {
-            judge.processBroken(number, "held " + mostDescriptors + " descriptors of " + deployment.sockets());
+            judge.processBroken(number, "used " + mostDescriptors + " file descriptors, the limit is "
+                    + deployment.sockets());
         }
-        if (mostMemoryMb > deployment.heapMb() + MB_BESIDE_HEAP) {
-            judge.processBroken(number, "held " + mostMemoryMb + " MB with a heap of " + deployment.heapMb());
+        if (mostMemoryMb > deployment.heapMb() + NON_HEAP_MEMORY_MB) {
+            judge.processBroken(number, "used " + mostMemoryMb + " MB of memory with a heap of "
+                    + deployment.heapMb() + " MB");
         }
     }
 
-    /** Compares in each line of counters that its processes left what was taken with what was answered. */
+    /**
+     * Checks that the number of accepted calls equals the number of answered calls in each line of counters that the
+     * processes logged.
+     */
     void checkCounters() throws IOException {
         for (String line : process.lines()) {
             Map<String, Long> counters = counters(line);
             long taken = counters.getOrDefault("taken.calls", 0L);
-            long answered = ANSWERS.stream().mapToLong(name -> counters.getOrDefault(name, 0L)).sum();
+            long answered = ANSWER_COUNTERS.stream().mapToLong(name -> counters.getOrDefault(name, 0L)).sum();
             if (taken != answered) {
-                judge.processBroken(number, "took " + taken + " calls and answered " + answered + ": " + line);
+                judge.processBroken(number, "accepted " + taken + " calls and answered " + answered + ": " + line);
             }
         }
     }
 
     private static Map<String, Long> counters(String line) {
-        Map<String, Long> out = new HashMap<>();
-        int at = line.indexOf(" counters ");
-        if (at >= 0) {
-            for (String counter : line.substring(at).strip().split(" ")) {
-                int eq = counter.indexOf('=');
-                if (eq > 0) {
-                    out.put(counter.substring(0, eq), Long.parseLong(counter.substring(eq + 1)));
+        Map<String, Long> values = new HashMap<>();
+        int prefixIndex = line.indexOf(" counters ");
+        if (prefixIndex >= 0) {
+            for (String counter : line.substring(prefixIndex).strip().split(" ")) {
+                int separator = counter.indexOf('=');
+                if (separator > 0) {
+                    values.put(counter.substring(0, separator), Long.parseLong(counter.substring(separator + 1)));
                 }
             }
         }
-        return out;
+        return values;
     }
 
     int mostMemoryMb() {
@@ -327,31 +347,36 @@
         return mostDescriptors;
     }
 
-    /** SIGTERM for good, at the end of a trial. */
+    /** Sends SIGTERM at the end of a trial; the process is not started again. */
     void shutDown() {
-        over = true;
+        trialEnded = true;
         terminate();
     }
 
-    /** Waits for the end after SIGTERM, until SIGKILL may come; not on the loop. Whether it has ended by then. */
+    /**
+     * Waits after SIGTERM until the process has ended, or until the platform would send SIGKILL. Must not be called on
+     * the loop.
+     *
+     * @return whether the process has ended
+     */
     boolean awaitEnd() throws InterruptedException {
-        return process.process().waitFor(longestEnd(), TimeUnit.MICROSECONDS);
+        return process.process().waitFor(maxTerminationMicros(), TimeUnit.MICROSECONDS);
     }
 
-    /** It had not ended when SIGKILL came. */
+    /** Reports that the process had not ended at the time of SIGKILL, and kills it. */
     void endedTooLate() {
-        judge.processBroken(number, "had not ended when SIGKILL came");
+        judge.processBroken(number, "had not ended at the time of SIGKILL");
         process.kill();
     }
 
-    /** Kills what may be left; from any thread. */
+    /** Kills the process if it is still running; may be called from any thread. */
     void destroy() {
         if (process.alive()) {
             process.kill();
         }
     }
 
-    /** Ends its stand-ins. */
+    /** Closes the stand-ins of this softswitch. */
     void close() {
         callers.close();
         directory.close();
