--- a/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
+++ b/src/main/java/wingspread/testbed/soak/SoftswitchHost.java
@@ -305,8 +305,8 @@
                     + deployment.sockets());
         }
         if (mostMemoryMb > deployment.heapMb() + NON_HEAP_MEMORY_MB) {
-            judge.processBroken(number, "used " + mostMemoryMb + " MB of memory with a heap of "
-                    + deployment.heapMb() + " MB");
+            judge.processBroken(number, "used " + mostMemoryMb + " MB of memory, heap size in MB: "
+                    + deployment.heapMb());
         }
     }
 
