--- a/src/main/java/wingspread/lab/host/Controller.java
+++ b/src/main/java/wingspread/lab/host/Controller.java
@@ -6,12 +6,12 @@
 import wingspread.core.ExchangeTransport;
 import wingspread.turn.Worker;
 
-/** A softswitch's calls and decisions, as the model hosts them. */
+/** The call processing of one softswitch as hosted by the model: takes events and runs one turn at a time. */
 public interface Controller extends Worker {
-    /** Takes an event for the next turn. */
+    /** Queues an event for the next turn. */
     void post(Event event);
 
-    /** Makes the softswitch of one exchange. */
+    /** Creates the controller of one exchange's softswitch. */
     @FunctionalInterface
     interface Maker {
         Controller make(LongSupplier clock, Settings settings, long seed, ExchangeTransport exchanges);
--- a/src/main/java/wingspread/lab/host/Effect.java
+++ b/src/main/java/wingspread/lab/host/Effect.java
@@ -4,7 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import wingspread.control.CallControl.Status;
 
-/** What a softswitch does, in the order in which it does it. Times are absolute, in the model's microseconds. */
+/**
+ * An action of a softswitch during a turn, listed in the order of execution. Times are absolute, in microseconds on the
+ * model's clock.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({@JsonSubTypes.Type(value = Effect.Invite.class, name = "invite"),
     @JsonSubTypes.Type(value = Effect.Withdraw.class, name = "withdraw"),
@@ -14,27 +17,31 @@
     @JsonSubTypes.Type(value = Effect.Failed.class, name = "failed"),
     @JsonSubTypes.Type(value = Effect.Over.class, name = "over")})
 public sealed interface Effect {
-    /** The call that it is about. */
+    /** Returns the ID of the call concerned. */
     String call();
 
-    /** A set-up leaves. */
+    /** Sends a set-up to an exchange. */
     record Invite(String call, int attempt, long exchange, long deadline) implements Effect { }
 
-    /** An attempt is given up: timed out or cancelled. */
+    /** Withdraws a pending attempt that timed out or was cancelled. */
     record Withdraw(String call, int attempt, Status status) implements Effect { }
 
-    /** A call that an exchange holds to stand is released. */
+    /** Releases a call that an exchange regards as established. */
     record Release(String call, long exchange, int cause) implements Effect { }
 
-    /** Answer: the call stands. */
+    /** Reports to the caller that the call is established. */
     record Stands(String call) implements Effect { }
 
-    /** Final answer: refused; the wait that is advised in microseconds, or 0. */
+    /**
+     * Refuses the call; a final answer.
+     *
+     * @param advised the wait advised before a redial, in microseconds; 0 for none
+     */
     record Refused(String call, long advised) implements Effect { }
 
-    /** Final answer: failed. */
+    /** Reports to the caller that the call failed; a final answer. */
     record Failed(String call) implements Effect { }
 
-    /** The caller of a call that stood is told that it is over. */
+    /** Notifies the caller that an established call has ended. */
     record Over(String call, int cause) implements Effect { }
 }
--- a/src/main/java/wingspread/lab/host/Happening.java
+++ b/src/main/java/wingspread/lab/host/Happening.java
@@ -11,8 +11,9 @@
 import wingspread.core.Request;
 
 /**
- * What the model tells a softswitch: {@code core.Event} without references, so that it can cross to another process.
- * The names of types and fields are the interface between versions; see {@link Wire}.
+ * An event that the model delivers to a softswitch: the counterpart of {@code core.Event} without object references, so
+ * that it can be sent to another process. The JSON type names and the fields are the interface between program
+ * versions; see {@link Wire}.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
 @JsonSubTypes({@JsonSubTypes.Type(value = Happening.Offered.class, name = "offered"),
@@ -25,30 +26,30 @@
     @JsonSubTypes.Type(value = Happening.Reported.class, name = "reported"),
     @JsonSubTypes.Type(value = Happening.Listed.class, name = "listed")})
 public sealed interface Happening {
-    /** A call has come in. */
+    /** A call was offered. */
     record Offered(Request request) implements Happening { }
 
-    /** A caller waits no longer. */
+    /** The caller abandoned the call before its final answer. */
     record CallerAbandoned(String call) implements Happening { }
 
-    /** A caller released a call that stands. */
+    /** The caller released an established call. */
     record CallerReleased(String call, int cause) implements Happening { }
 
-    /** An exchange says that the call stands. */
+    /** An exchange answered: the call is established. */
     record Answered(long exchange, String call) implements Happening { }
 
-    /** An exchange turned a set-up away. */
+    /** An exchange rejected a set-up. */
     record Rejected(long exchange, String call, Status status, Cause cause, Report report) implements Happening { }
 
-    /** An exchange released a call that stood. */
+    /** An exchange released an established call. */
     record Released(long exchange, String call, int cause, Report report) implements Happening { }
 
-    /** The call's attempt of this number ended on this side. */
+    /** The attempt with this index was aborted locally, without an answer from the exchange. */
     record AttemptAborted(String call, int attempt, Status status) implements Happening { }
 
     /** The free circuits toward an exchange have changed. */
     record Reported(long exchange, Report report) implements Happening { }
 
-    /** News of the list of exchanges. */
+    /** The directory sent an update of the list of exchanges. */
     record Listed(ListKind kind, List<Exchange> entries) implements Happening { }
 }
--- a/src/main/java/wingspread/lab/host/HostException.java
+++ b/src/main/java/wingspread/lab/host/HostException.java
@@ -1,6 +1,6 @@
 package wingspread.lab.host;
 
-/** Softswitches in another process cannot be had, or broke off; the message is one line that says why. */
+/** Thrown when a host process cannot be started or used, or fails during a run; the message is a single line. */
 public final class HostException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/wingspread/lab/host/LocalSoftswitches.java
+++ b/src/main/java/wingspread/lab/host/LocalSoftswitches.java
@@ -10,33 +10,35 @@
 import wingspread.core.Event;
 import wingspread.core.ExchangeTransport;
 
-/** Softswitches in this process. It only carries to and fro: what is decided is the controllers'. */
+/**
+ * Softswitches in this process. Only converts events and effects; all decisions are made by the controllers.
+ */
 public final class LocalSoftswitches implements Softswitches {
     private static final byte[] DESCRIPTION = new byte[0];
 
-    private final Controller.Maker maker;
-    private final List<One> all = new ArrayList<>();
+    private final Controller.Maker factory;
+    private final List<HostedSoftswitch> all = new ArrayList<>();
     private long now;
 
-    /** Softswitches that are made by this maker. */
-    public LocalSoftswitches(Controller.Maker maker) {
-        this.maker = maker;
+    /** Creates a fleet whose controllers come from {@code factory}. */
+    public LocalSoftswitches(Controller.Maker factory) {
+        this.factory = factory;
     }
 
     @Override
-    public void begin(long startsAt, List<Start> starts) {
-        now = startsAt;
+    public void begin(long startTime, List<Start> starts) {
+        now = startTime;
         all.clear();
         for (Start start : starts) {
-            One one = new One();
-            one.controller = maker.make(() -> now, start.settings(), start.seed(), one);
-            all.add(one);
+            HostedSoftswitch softswitch = new HostedSoftswitch();
+            softswitch.controller = factory.make(() -> now, start.settings(), start.seed(), softswitch);
+            all.add(softswitch);
         }
     }
 
     @Override
-    public List<Output> turn(long turnsAt, List<Input> inputs) {
-        now = turnsAt;
+    public List<Output> turn(long turnTime, List<Input> inputs) {
+        now = turnTime;
         List<Output> out = new ArrayList<>(inputs.size());
         for (Input input : inputs) {
             out.add(all.get(input.place()).turn(input));
@@ -44,9 +46,9 @@
         return out;
     }
 
-    /** One softswitch: names become references on the way in, and references names on the way out. */
-    private final class One implements ExchangeTransport {
-        private final Map<String, Side> sides = new HashMap<>();
+    /** One softswitch: maps call IDs to object references for the controller, and references back to IDs in effects. */
+    private final class HostedSoftswitch implements ExchangeTransport {
+        private final Map<String, CallerEnd> callerEnds = new HashMap<>();
         private Controller controller;
         private List<Effect> effects = new ArrayList<>();
 
@@ -59,17 +61,17 @@
 
         private void post(Happening happening) {
             if (happening instanceof Happening.Offered h) {
-                Side side = new Side(this, h.request().id());
-                sides.put(side.call, side);
-                controller.post(new Event.Offered(h.request(), side));
+                CallerEnd callerEnd = new CallerEnd(this, h.request().id());
+                callerEnds.put(callerEnd.call, callerEnd);
+                controller.post(new Event.Offered(h.request(), callerEnd));
             } else if (happening instanceof Happening.CallerAbandoned h) {
-                Side side = sides.get(h.call());
-                if (side != null) {
-                    controller.post(new Event.CallerAbandoned(h.call(), side));
-                    sides.remove(h.call());
+                CallerEnd callerEnd = callerEnds.get(h.call());
+                if (callerEnd != null) {
+                    controller.post(new Event.CallerAbandoned(h.call(), callerEnd));
+                    callerEnds.remove(h.call());
                 }
             } else if (happening instanceof Happening.CallerReleased h) {
-                sides.remove(h.call());
+                callerEnds.remove(h.call());
                 controller.post(new Event.CallerReleased(h.call(), h.cause()));
             } else if (happening instanceof Happening.Answered h) {
                 controller.post(new Event.Answered(h.exchange(), h.call(), DESCRIPTION));
@@ -78,9 +80,10 @@
             } else if (happening instanceof Happening.Released h) {
                 controller.post(new Event.Released(h.exchange(), h.call(), h.cause(), h.report()));
             } else if (happening instanceof Happening.AttemptAborted h) {
-                Side side = sides.get(h.call());
-                if (side != null && side.last != null && side.last.index() == h.attempt()) {
-                    controller.post(new Event.AttemptAborted(side.last, h.status()));
+                CallerEnd callerEnd = callerEnds.get(h.call());
+                if (callerEnd != null && callerEnd.lastAttempt != null
+                        && callerEnd.lastAttempt.index() == h.attempt()) {
+                    controller.post(new Event.AttemptAborted(callerEnd.lastAttempt, h.status()));
                 }
             } else if (happening instanceof Happening.Reported h) {
                 controller.post(new Event.Reported(h.exchange(), h.report()));
@@ -91,9 +94,9 @@
 
         @Override
         public void invite(Attempt attempt) {
-            Side side = sides.get(attempt.request().id());
-            if (side != null) {
-                side.last = attempt;
+            CallerEnd callerEnd = callerEnds.get(attempt.request().id());
+            if (callerEnd != null) {
+                callerEnd.lastAttempt = attempt;
             }
             effects.add(new Effect.Invite(attempt.request().id(), attempt.index(), attempt.exchange(),
                     attempt.deadline()));
@@ -126,38 +129,38 @@
         }
     }
 
-    /** The caller's side of a call. */
-    private static final class Side implements Caller {
-        private final One one;
+    /** The caller's end of a call; records the controller's answers as effects. */
+    private static final class CallerEnd implements Caller {
+        private final HostedSoftswitch softswitch;
         private final String call;
-        private Attempt last;
+        private Attempt lastAttempt;
 
-        Side(One one, String call) {
-            this.one = one;
+        CallerEnd(HostedSoftswitch softswitch, String call) {
+            this.softswitch = softswitch;
             this.call = call;
         }
 
         @Override
         public void onEstablished(byte[] description) {
-            one.effects.add(new Effect.Stands(call));
+            softswitch.effects.add(new Effect.Stands(call));
         }
 
         @Override
         public void onRefused(long wait) {
-            one.sides.remove(call);
-            one.effects.add(new Effect.Refused(call, wait));
+            softswitch.callerEnds.remove(call);
+            softswitch.effects.add(new Effect.Refused(call, wait));
         }
 
         @Override
         public void onFailed() {
-            one.sides.remove(call);
-            one.effects.add(new Effect.Failed(call));
+            softswitch.callerEnds.remove(call);
+            softswitch.effects.add(new Effect.Failed(call));
         }
 
         @Override
         public void onEnded(int cause) {
-            one.sides.remove(call);
-            one.effects.add(new Effect.Over(call, cause));
+            softswitch.callerEnds.remove(call);
+            softswitch.effects.add(new Effect.Over(call, cause));
         }
 
         @Override
--- a/src/main/java/wingspread/lab/host/PlannerController.java
+++ b/src/main/java/wingspread/lab/host/PlannerController.java
@@ -7,9 +7,9 @@
 import wingspread.metrics.Metrics;
 import wingspread.storm.StormParameters;
 
-/** The program's own planner with its module, unchanged. */
+/** Runs the program's own {@link Planner} with its decision module, unmodified. */
 public final class PlannerController implements Controller {
-    private static final int MOST_CALLS = 4_096;
+    private static final int MAX_CALLS = 4_096;
 
     private final Planner planner;
 
@@ -17,20 +17,29 @@
         this.planner = planner;
     }
 
-    /** Makes planners whose modules decide by these figures. */
-    public static Maker with(ControlParameters figures) {
-        return with(figures, null);
+    /** Returns a factory of planners that use these control parameters. */
+    public static Maker with(ControlParameters parameters) {
+        return with(parameters, null);
     }
 
-    /** The same, with a gate against storms of redials by these figures; null for none. */
-    public static Maker with(ControlParameters figures, StormParameters storm) {
-        return with(figures, storm, Metrics::new);
+    /**
+     * Returns a factory of planners with protection against retry storms.
+     *
+     * @param storm parameters of the storm gate; null for no gate
+     */
+    public static Maker with(ControlParameters parameters, StormParameters storm) {
+        return with(parameters, storm, Metrics::new);
     }
 
-    /** The same, each with counters of its own, which are asked for on the thread that plays the replication. */
-    public static Maker with(ControlParameters figures, StormParameters storm, Supplier<Metrics> counters) {
-        return (clock, settings, seed, exchanges) -> new PlannerController(new Planner(clock, settings, figures, seed,
-                MOST_CALLS, exchanges, (call, cause) -> { }, counters.get(), storm));
+    /**
+     * Returns a factory of planners with protection against retry storms and with their own counters.
+     *
+     * @param storm parameters of the storm gate; null for no gate
+     * @param counters supplies the counters of each planner; called on the thread that runs the replication
+     */
+    public static Maker with(ControlParameters parameters, StormParameters storm, Supplier<Metrics> counters) {
+        return (clock, settings, seed, exchanges) -> new PlannerController(new Planner(clock, settings, parameters,
+                seed, MAX_CALLS, exchanges, (call, cause) -> { }, counters.get(), storm));
     }
 
     @Override
--- a/src/main/java/wingspread/lab/host/RemoteSoftswitches.java
+++ b/src/main/java/wingspread/lab/host/RemoteSoftswitches.java
@@ -19,119 +19,125 @@
 import wingspread.control.ControlParameters;
 
 /**
- * Softswitches of another built jar of this program, run as a process of its own. The model of the network stays
- * here, so that two versions meet the same one.
+ * Softswitches of another built jar of this program, run in a separate process. The network model stays in this
+ * process, so that two versions are compared on the same model.
  */
 public final class RemoteSoftswitches implements Softswitches {
-    /** A host that says nothing for so long is ended; far beyond the longest turn of the largest fleet. */
-    private static final long LONGEST_SILENCE_SECONDS = 60;
-    private static final int BUFFER = 1 << 16;
-    private static final ScheduledExecutorService WATCH = Executors.newSingleThreadScheduledExecutor(task -> {
+    /** Time-out after which an unresponsive host is ended; far longer than the longest turn of the largest fleet. */
+    private static final long REPLY_TIMEOUT_SECONDS = 60;
+    private static final int BUFFER_BYTES = 1 << 16;
+    private static final ScheduledExecutorService TIMEOUTS = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "host-watch");
         thread.setDaemon(true);
         return thread;
     });
 
     private final String name;
-    private final Map<String, Double> figures;
+    private final Map<String, Double> parameters;
     private final Runnable kill;
     private final ObjectMapper mapper = Wire.mapper();
     private final OutputStream out;
-    private final MappingIterator<Wire.Answer> answers;
-    private volatile boolean killed;
+    private final MappingIterator<Wire.Reply> replies;
+    private volatile boolean timedOut;
 
-    /** Speaks with a host at the other end of two streams; {@code kill} ends it. */
-    RemoteSoftswitches(String name, ControlParameters figures, InputStream in, OutputStream out, Runnable kill) {
+    /**
+     * Connects to a host over a pair of streams and reads its greeting.
+     *
+     * @param kill ends the host
+     * @throws HostException if the peer is not a host or uses another version of the interface
+     */
+    RemoteSoftswitches(String name, ControlParameters parameters, InputStream in, OutputStream out, Runnable kill) {
         this.name = name;
         this.kill = kill;
         this.out = out;
-        // What was given is sent, and all of it: another version may lack a figure, or have another usual value.
-        this.figures = figures.overrides();
+        // Sends every override, also one equal to the default here: another version may lack the parameter or have
+        // another default.
+        this.parameters = parameters.overrides();
         try {
-            JsonParser parser = Wire.reading(mapper, in);
-            Wire.Hello hello = watched(() -> parser.readValueAs(Wire.Hello.class));
+            JsonParser parser = Wire.newParser(mapper, in);
+            Wire.Hello hello = readWithTimeout(() -> parser.readValueAs(Wire.Hello.class));
             if (hello == null || hello.version() != Wire.VERSION) {
                 close();
-                throw new HostException(name + " speaks version " + (hello == null ? "none" : hello.version())
+                throw new HostException(name + " uses version " + (hello == null ? "none" : hello.version())
                         + " of the lab's interface; " + Wire.VERSION + " was expected");
             }
-            answers = mapper.readerFor(Wire.Answer.class).readValues(parser);
+            replies = mapper.readerFor(Wire.Reply.class).readValues(parser);
         } catch (IOException e) {
             close();
-            throw new HostException(name + " is no host of softswitches: " + oneLine(e));
+            throw new HostException(name + " is not a softswitch host: " + singleLineMessage(e));
         }
     }
 
     /**
-     * Starts a host.
+     * Starts a host process.
      *
-     * @throws HostException where the jar is missing, or speaks another version of the interface
+     * @throws HostException if the jar is missing, cannot be started or uses another version of the interface
      */
-    public static RemoteSoftswitches start(Path jar, ControlParameters figures) {
+    public static RemoteSoftswitches start(Path jar, ControlParameters parameters) {
         if (!Files.isRegularFile(jar)) {
-            throw new HostException(jar + " is no jar of this program");
+            throw new HostException(jar + " is not a jar of this program");
         }
         try {
             Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-XX:+UseSerialGC", "-jar", jar.toString(), "lab", "host")
                     .redirectError(ProcessBuilder.Redirect.DISCARD).start();
-            return new RemoteSoftswitches(jar.toString(), figures,
-                    new BufferedInputStream(process.getInputStream(), BUFFER),
-                    new BufferedOutputStream(process.getOutputStream(), BUFFER), process::destroyForcibly);
+            return new RemoteSoftswitches(jar.toString(), parameters,
+                    new BufferedInputStream(process.getInputStream(), BUFFER_BYTES),
+                    new BufferedOutputStream(process.getOutputStream(), BUFFER_BYTES), process::destroyForcibly);
         } catch (IOException e) {
-            throw new HostException(jar + " cannot be started: " + oneLine(e));
+            throw new HostException(jar + " cannot be started: " + singleLineMessage(e));
         }
     }
 
     @Override
     public void begin(long now, List<Start> starts) {
-        ask(new Wire.Begin(now, figures, starts));
+        execute(new Wire.Begin(now, parameters, starts));
     }
 
     @Override
     public List<Output> turn(long now, List<Input> inputs) {
-        return ask(new Wire.Turn(now, inputs)).outputs();
+        return execute(new Wire.Turn(now, inputs)).outputs();
     }
 
-    private Wire.Answer ask(Wire.Order order) {
+    private Wire.Reply execute(Wire.Command command) {
         try {
-            Wire.write(mapper, out, order);
-            Wire.Answer answer = watched(() -> answers.hasNextValue() ? answers.nextValue() : null);
-            if (answer == null) {
-                throw new HostException(name + (killed ? " said nothing for " + LONGEST_SILENCE_SECONDS + " s"
-                        : " ended in the middle of a run"));
+            Wire.write(mapper, out, command);
+            Wire.Reply reply = readWithTimeout(() -> replies.hasNextValue() ? replies.nextValue() : null);
+            if (reply == null) {
+                throw new HostException(name + (timedOut ? " did not answer within " + REPLY_TIMEOUT_SECONDS + " s"
+                        : " ended during a run"));
             }
-            if (answer.error() != null) {
+            if (reply.error() != null) {
                 close();
-                throw new HostException(name + ": " + answer.error());
+                throw new HostException(name + ": " + reply.error());
             }
-            return answer;
+            return reply;
         } catch (IOException e) {
             close();
-            throw new HostException(name + " broke off: " + oneLine(e));
+            throw new HostException(name + ": connection to the host failed: " + singleLineMessage(e));
         }
     }
 
-    /** Something that waits for the host. */
+    /** A read that blocks until the host answers. */
     @FunctionalInterface
-    private interface Waiting<T> {
+    private interface BlockingRead<T> {
         T get() throws IOException;
     }
 
-    /** Guards against a host that hangs: the read has no end of its own. */
-    private <T> T watched(Waiting<T> waiting) throws IOException {
-        ScheduledFuture<?> watch = WATCH.schedule(() -> {
-            killed = true;
+    /** Performs a blocking read and kills the host on time-out, as the read itself has none. */
+    private <T> T readWithTimeout(BlockingRead<T> blockingRead) throws IOException {
+        ScheduledFuture<?> timeout = TIMEOUTS.schedule(() -> {
+            timedOut = true;
             kill.run();
-        }, LONGEST_SILENCE_SECONDS, TimeUnit.SECONDS);
+        }, REPLY_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         try {
-            return waiting.get();
+            return blockingRead.get();
         } finally {
-            watch.cancel(false);
+            timeout.cancel(false);
         }
     }
 
-    private static String oneLine(IOException e) {
+    private static String singleLineMessage(IOException e) {
         return String.valueOf(e.getMessage()).replaceAll("\\s*\\R\\s*", " ");
     }
 
--- a/src/main/java/wingspread/lab/host/SoftswitchPool.java
+++ b/src/main/java/wingspread/lab/host/SoftswitchPool.java
@@ -7,30 +7,33 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 
-/** Fleets of softswitches of one variant, lent to one run at a time; as many are made as run side by side. */
+/**
+ * A pool of softswitch fleets of one variant. Each fleet serves one run at a time; the pool grows to the number of
+ * concurrent runs.
+ */
 public final class SoftswitchPool implements AutoCloseable {
-    private final Supplier<Softswitches> maker;
+    private final Supplier<Softswitches> factory;
     private final ConcurrentLinkedDeque<Softswitches> idle = new ConcurrentLinkedDeque<>();
     private final List<Softswitches> all = new ArrayList<>();
     private boolean closed;
 
-    /** A pool that makes its fleets so. */
-    public SoftswitchPool(Supplier<Softswitches> maker) {
-        this.maker = maker;
+    /** Creates a pool that creates its fleets with {@code factory}. */
+    public SoftswitchPool(Supplier<Softswitches> factory) {
+        this.factory = factory;
     }
 
-    /** A pool of fleets in this process. */
-    public static SoftswitchPool local(Controller.Maker maker) {
-        return new SoftswitchPool(() -> new LocalSoftswitches(maker));
+    /** Creates a pool of fleets in this process. */
+    public static SoftswitchPool local(Controller.Maker factory) {
+        return new SoftswitchPool(() -> new LocalSoftswitches(factory));
     }
 
-    /** Does something with a fleet that nobody else has meanwhile. One that fails is not lent again. */
-    public <T> T with(Function<Softswitches, T> what) {
+    /** Runs {@code task} with exclusive use of a fleet. A fleet whose task throws is not reused. */
+    public <T> T with(Function<Softswitches, T> task) {
         Softswitches fleet = idle.poll();
         if (fleet == null) {
-            fleet = maker.get();
+            fleet = factory.get();
             synchronized (all) {
-                // Guards against a fleet that comes up while the pool goes down: nobody else would end it.
+                // A fleet created while the pool is being closed must be closed here; nothing else would.
                 if (closed) {
                     fleet.close();
                     throw new CancellationException("the comparison has ended");
@@ -38,7 +41,7 @@
                 all.add(fleet);
             }
         }
-        T result = what.apply(fleet);
+        T result = task.apply(fleet);
         idle.push(fleet);
         return result;
     }
--- a/src/main/java/wingspread/lab/host/Softswitches.java
+++ b/src/main/java/wingspread/lab/host/Softswitches.java
@@ -3,26 +3,30 @@
 import java.util.List;
 import wingspread.control.CallControl.Settings;
 
-/** The softswitches of a fleet, one for each place, wherever they run. */
+/** The softswitches of a fleet, one per place, in this process or in another. */
 public interface Softswitches extends AutoCloseable {
-    /** How one softswitch starts. */
+    /** Start parameters of one softswitch. */
     record Start(Settings settings, long seed) { }
 
-    /** What has happened to a softswitch since its last turn, in order. */
+    /** The events of a softswitch since its last turn, in order. */
     record Input(int place, List<Happening> happenings) { }
 
-    /** What a softswitch did in its turn, and when it wants the next at the latest. */
+    /**
+     * The effects of a softswitch's turn.
+     *
+     * @param nextDue the latest time of the next turn, in microseconds
+     */
     record Output(int place, List<Effect> effects, long nextDue) { }
 
-    /** Starts all anew, at a time; those of an earlier run are forgotten. */
+    /** Starts a new fleet at {@code now}, in microseconds, and discards the softswitches of an earlier run. */
     void begin(long now, List<Start> starts);
 
-    /** Plays a turn of each that is named, all at the same time; the outputs come in the order of the inputs. */
+    /** Runs a turn of each softswitch in {@code inputs}, all at {@code now}; outputs are in the order of the inputs. */
     List<Output> turn(long now, List<Input> inputs);
 
-    /** Ends what runs elsewhere. */
+    /** Ends the softswitches' process if they run in another one. */
     @Override
     default void close() {
-        // Nothing runs elsewhere.
+        // No other process to end.
     }
 }
--- a/src/main/java/wingspread/lab/host/Wire.java
+++ b/src/main/java/wingspread/lab/host/Wire.java
@@ -16,61 +16,66 @@
 import java.util.Map;
 
 /**
- * The interface between a driver and a host of softswitches, which may be another version of this program: a CBOR
- * sequence (RFC 8742) in each direction, one item for each message. The host speaks first and names its version;
- * from then on each message of the driver gets one answer. What a side does not know is skipped, so that fields may
- * be added; a change that breaks this raises {@link #VERSION}.
+ * The interface between a driver and a softswitch host, which may be another version of this program: a CBOR sequence
+ * (RFC 8742) in each direction, one item per message. The host first sends its version; after that it sends one reply
+ * to each command of the driver. Unknown fields are ignored, so that fields can be added; an incompatible change
+ * increments {@link #VERSION}.
  */
 final class Wire {
-    /** What this program speaks. */
+    /** The interface version of this program. */
     static final int VERSION = 1;
-    private static final int DEEPEST = 32;
-    private static final int LONGEST_TEXT = 1 << 20;
+    private static final int MAX_NESTING_DEPTH = 32;
+    private static final int MAX_TEXT_LENGTH = 1 << 20;
 
     private Wire() { }
 
-    /** What a host says first. */
+    /** The first message of a host. */
     record Hello(String host, int version, String program) { }
 
-    /** What a driver says. */
+    /** A message from the driver. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
     @JsonSubTypes({@JsonSubTypes.Type(value = Begin.class, name = "begin"),
         @JsonSubTypes.Type(value = Turn.class, name = "turn")})
-    sealed interface Order { }
+    sealed interface Command { }
 
-    /** Start a fleet with these figures, by name, where they are not the usual ones; times in microseconds. */
-    record Begin(long now, Map<String, Double> figures, List<Softswitches.Start> starts) implements Order {
+    /**
+     * Starts a fleet.
+     *
+     * @param now the start time in microseconds
+     * @param figures control parameters by name; those not listed have their defaults
+     */
+    record Begin(long now, Map<String, Double> figures, List<Softswitches.Start> starts) implements Command {
         Begin {
             figures = figures == null ? Map.of() : figures;
             starts = starts == null ? List.of() : starts;
         }
     }
 
-    /** Play turns. */
-    record Turn(long now, List<Softswitches.Input> inputs) implements Order {
+    /** Runs turns. */
+    record Turn(long now, List<Softswitches.Input> inputs) implements Command {
         Turn {
             inputs = inputs == null ? List.of() : inputs;
         }
     }
 
-    /** What a host answers; {@code error} is null where all went well. */
-    record Answer(String error, List<Softswitches.Output> outputs) { }
+    /** The host's reply to a command; {@code error} is null on success. */
+    record Reply(String error, List<Softswitches.Output> outputs) { }
 
-    /** A mapper whose limits hold before anything is allocated. */
+    /** Returns a mapper that checks its size limits before it allocates memory. */
     static ObjectMapper mapper() {
         CBORFactory factory = CBORFactory.builder()
-                .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST)
-                        .maxStringLength(LONGEST_TEXT).build())
+                .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH)
+                        .maxStringLength(MAX_TEXT_LENGTH).build())
                 .disable(StreamWriteFeature.AUTO_CLOSE_TARGET).disable(StreamReadFeature.AUTO_CLOSE_SOURCE).build();
         return new ObjectMapper(factory).disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
-    /** Items in their order. */
-    static JsonParser reading(ObjectMapper mapper, InputStream in) throws IOException {
+    /** Returns a parser of the items of a stream. */
+    static JsonParser newParser(ObjectMapper mapper, InputStream in) throws IOException {
         return mapper.getFactory().createParser(in);
     }
 
-    /** Writes one item and flushes. */
+    /** Writes one item and flushes the stream. */
     static void write(ObjectMapper mapper, OutputStream out, Object item) throws IOException {
         mapper.writeValue(out, item);
         out.flush();
--- a/src/main/java/wingspread/record/RecordConfig.java
+++ b/src/main/java/wingspread/record/RecordConfig.java
@@ -11,21 +11,21 @@
 import wingspread.toml.TomlFile;
 
 /**
- * What {@code deploy/record.toml} says.
+ * Settings of traffic recording, from {@code deploy/record.toml}.
  *
- * @param file where the recording goes; each start adds its time to the name
- * @param keyFile the key of the numbers' hash; null for a key that nobody keeps
- * @param held calls that wait for the disk at the most
- * @param longest bytes of a recording at the most
+ * @param file path of the recording; the place and the start time are appended to the file name
+ * @param keyFile file with the key of the number hash; null for a random key that is not stored
+ * @param queueCapacity max number of calls queued for the disk
+ * @param maxBytes max size of a recording in bytes
  */
-public record RecordConfig(Path file, Path keyFile, int held, long longest) {
+public record RecordConfig(Path file, Path keyFile, int queueCapacity, long maxBytes) {
     private static final String SCHEMA = "/wingspread/record/record.schema.json";
     private static final long MEGABYTE = 1 << 20;
 
     /**
-     * Reads the file; null where recording is off.
+     * Reads the settings; null if recording is disabled.
      *
-     * @throws TomlException where it cannot be taken
+     * @throws TomlException if the file cannot be read or is invalid
      */
     public static RecordConfig read(Path path) {
         ObjectNode tree = TomlFile.read(path, SCHEMA);
@@ -40,21 +40,25 @@
     /**
      * Starts the recorder of one softswitch.
      *
-     * @throws TomlException where the file cannot be made or the key not be read
+     * @param now the start time in Unix microseconds
+     * @param place the index of the softswitch's exchange
+     * @param softswitches the number of softswitches in the fleet
+     * @param classes the names of the call classes
+     * @throws TomlException if the recording cannot be created or the key cannot be read
      */
     public Recorder start(long now, int place, int softswitches, List<String> classes) {
         Path out = file.resolveSibling(file.getFileName() + "." + place + "." + now);
         try {
-            byte[] key = keyFile == null ? NumberHash.freshKey() : Files.readAllBytes(keyFile);
+            byte[] key = keyFile == null ? NumberHash.randomKey() : Files.readAllBytes(keyFile);
             if (key.length == 0) {
-                throw new TomlException(keyFile + ": holds no key");
+                throw new TomlException(keyFile + ": key file is empty");
             }
-            // Who calls whom is nobody's business but the operators', hash or no hash.
+            // Who calls whom is confidential even with hashed numbers, so only the owner may access the file.
             Files.createFile(out, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
             return new Recorder(new TrafficWriter(Files.newOutputStream(out, StandardOpenOption.WRITE), now, place,
-                    softswitches, classes, longest), now, held, key);
+                    softswitches, classes, maxBytes), now, queueCapacity, key);
         } catch (IOException e) {
-            throw new TomlException("recording cannot start: " + e.getClass().getSimpleName() + " " + e.getMessage());
+            throw new TomlException("cannot start recording: " + e.getClass().getSimpleName() + " " + e.getMessage());
         }
     }
 }
--- a/src/main/java/wingspread/record/RecordedCall.java
+++ b/src/main/java/wingspread/record/RecordedCall.java
@@ -1,13 +1,17 @@
 package wingspread.record;
 
 /**
- * A try to call as it came in.
+ * A call offer as received by the softswitch.
  *
- * @param at microseconds since the start of the recording
- * @param callClass the class's index among the recording's classes
- * @param destination the place that is called
+ * @param at time of arrival in microseconds since the start of the recording
+ * @param callClass index of the class in the recording's list of classes
+ * @param destination index of the called exchange
+ * @param width number of circuits that the call occupies
  * @param left how long the caller waits, in microseconds
- * @param number the number called under the recording's keyed hash; 0 for none
+ * @param redial whether the offer is marked as a redial
+ * @param transit whether this exchange is the tandem of the call
+ * @param cut whether the call repeats one that was cut
+ * @param number the called number's keyed hash; 0 for none
  */
 public record RecordedCall(long at, int callClass, int destination, double width, long left, boolean redial,
         boolean transit, boolean cut, long number) { }
--- a/src/main/java/wingspread/record/Recorder.java
+++ b/src/main/java/wingspread/record/Recorder.java
@@ -6,105 +6,108 @@
 import wingspread.core.Request;
 
 /**
- * Records the calls that come in. The loop only puts a few figures into a bounded queue; hashing, packing and the disk
- * are the business of a thread of its own, and what that cannot keep up with is dropped and counted.
+ * Records the calls offered to a softswitch. The event loop only adds a few fields to a bounded queue; a separate
+ * thread hashes, compresses and writes. Calls that this thread cannot keep up with are dropped and counted.
  */
 public final class Recorder implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Recorder.class);
-    private static final long PAUSE_MILLIS = 100;
-    /** At the end the disk gets so long; the program does not wait for one that hangs. */
-    private static final long LAST_MILLIS = 500;
+    private static final long POLL_INTERVAL_MILLIS = 100;
+    /** Max time to wait for the disk on close, so that a disk that hangs does not delay the shutdown. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
-    private final HeardCalls heard;
+    private final OfferedCallQueue queue;
     private final NumberHash hash;
     private final TrafficWriter writer;
     private final long started;
     private final Thread thread;
-    private volatile boolean ending;
-    private boolean toldFull;
+    private volatile boolean closing;
+    private boolean fullReported;
 
     /**
-     * Starts to record.
+     * Starts the recording thread.
      *
-     * @param started Unix microseconds, from which the calls' times count
-     * @param held calls that wait for the disk at the most
-     * @param key for the numbers' hash
+     * @param started start of the recording in Unix microseconds; recorded times are relative to it
+     * @param queueCapacity max number of calls queued for the disk
+     * @param key key of the number hash
      */
-    public Recorder(TrafficWriter writer, long started, int held, byte[] key) {
+    public Recorder(TrafficWriter writer, long started, int queueCapacity, byte[] key) {
         this.writer = writer;
         this.started = started;
-        this.heard = new HeardCalls(held);
+        this.queue = new OfferedCallQueue(queueCapacity);
         this.hash = new NumberHash(key);
         this.thread = new Thread(this::run, "recorder");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A call has come in; returns at once. */
+    /** Records an offered call without blocking. */
     public void offered(long now, Request request) {
-        heard.offer(now, request);
+        queue.offer(now, request);
     }
 
-    /** Calls that there was no room for. */
+    /** Returns the number of calls dropped because the queue was full. */
     public long dropped() {
-        return heard.dropped();
+        return queue.dropped();
     }
 
     private void run() {
         try (writer) {
             boolean last;
             do {
-                last = ending;
+                last = closing;
                 writeAll();
                 if (!last) {
                     pause();
                 }
             } while (!last);
-            writer.dropped(heard.dropped());
+            writer.dropped(queue.dropped());
         } catch (IOException e) {
-            LOG.atError().addKeyValue("reason", "RECORD_FAILED").log("recording has ended: {}", e.getMessage());
+            LOG.atError().addKeyValue("reason", "RECORD_FAILED")
+                    .log("recording failed and was stopped: {}", e.getMessage());
         }
     }
 
     private void writeAll() throws IOException {
-        HeardCalls.Heard call = heard.poll();
+        OfferedCallQueue.QueuedCall call = queue.poll();
         if (call == null) {
             return;
         }
-        writer.dropped(heard.dropped());
-        for (; call != null; call = heard.poll()) {
+        writer.dropped(queue.dropped());
+        for (; call != null; call = queue.poll()) {
             writer.write(new RecordedCall(call.at() - started, call.callClass(), call.destination(), call.width(),
                     Math.max(0, call.deadline() - call.at()), call.redial(), call.transit(), call.cut(),
                     hash.of(call.number())));
         }
         writer.flush();
-        if (writer.full() && !toldFull) {
-            toldFull = true;
-            LOG.atWarn().addKeyValue("reason", "RECORD_FULL").log("the recording has reached its longest");
+        if (writer.full() && !fullReported) {
+            fullReported = true;
+            LOG.atWarn().addKeyValue("reason", "RECORD_FULL")
+                    .log("the recording has reached its max size; further calls are not written");
         }
     }
 
     private void pause() {
         try {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } catch (InterruptedException e) {
-            // close() asks to go on at once.
-            ending = true;
+            // Interrupted by close(), to write the remaining calls without delay.
+            closing = true;
         }
     }
 
-    /** Writes what has come in and ends the file. */
+    /** Writes the queued calls and closes the file. */
     @Override
     public void close() {
-        ending = true;
+        closing = true;
         thread.interrupt();
         try {
-            thread.join(LAST_MILLIS);
+            thread.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        // The writer is this thread's once its own has ended; a disk that still hangs has told nothing.
-        long missing = thread.isAlive() ? heard.dropped() : writer.missing();
-        LOG.atInfo().addKeyValue("missing", missing).log("recording ends");
+        // Once the recording thread has ended, the writer may be read here. If the thread still hangs in a write, only
+        // the queue's count is known.
+        long missing = thread.isAlive() ? queue.dropped() : writer.missing();
+        LOG.atInfo().addKeyValue("missing", missing).log("recording closed");
     }
 }
--- a/src/main/java/wingspread/record/Recording.java
+++ b/src/main/java/wingspread/record/Recording.java
@@ -16,19 +16,23 @@
 import java.util.zip.ZipException;
 
 /**
- * A recording as it was read: all of it, or what came before the place where it was cut off or spoilt.
+ * The contents of a recording: all of it, or the part before the position where it is truncated or corrupt.
  *
- * @param started Unix microseconds
- * @param dropped calls that came in and were not recorded
- * @param fault null for a whole recording, else one line that says how far it could be read and why not further
+ * @param started start of the recording in Unix microseconds
+ * @param place index of the recording softswitch's exchange
+ * @param softswitches number of softswitches in the fleet
+ * @param classes names of the call classes
+ * @param calls the recorded calls in order of time
+ * @param dropped number of calls that were offered but not recorded
+ * @param fault null for a complete recording, else one line with the number of calls read and the reason
  */
 public record Recording(long started, int place, int softswitches, List<String> classes, List<RecordedCall> calls,
         long dropped, String fault) {
-    private static final int MILLIS = 1_000;
-    /** Guards the memory against a file that unpacks to more than any day of calls. */
-    private static final int MOST_CALLS = 20_000_000;
+    private static final int MICROS_PER_MILLI = 1_000;
+    /** Bounds the memory against a file that decompresses to more calls than any day has. */
+    private static final int MAX_CALLS = 20_000_000;
 
-    /** A file that is no recording at all; the message is one line. */
+    /** Thrown when a file is not a recording of this version; the message is a single line. */
     public static final class NoRecordingException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -38,9 +42,9 @@
     }
 
     /**
-     * Reads a file.
+     * Reads a recording from a file.
      *
-     * @throws NoRecordingException where not even the head can be read
+     * @throws NoRecordingException if the header cannot be read
      */
     public static Recording read(Path file) {
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
@@ -50,38 +54,43 @@
         }
     }
 
-    /** Reads a stream, under a name for its errors. */
+    /**
+     * Reads a recording from a stream.
+     *
+     * @param name name of the stream in error messages
+     * @throws NoRecordingException if the header cannot be read
+     */
     public static Recording read(InputStream in, String name) {
         ObjectMapper mapper = TrafficFormat.mapper();
         try (MappingIterator<JsonNode> items = mapper.readerFor(JsonNode.class).readValues(new GZIPInputStream(in))) {
-            TrafficFormat.Header head = items.hasNextValue()
+            TrafficFormat.Header header = items.hasNextValue()
                     ? mapper.treeToValue(items.nextValue(), TrafficFormat.Header.class) : null;
-            if (head == null || !TrafficFormat.NAME.equals(head.format()) || head.classes() == null) {
-                throw new NoRecordingException(name + ": is no recording of traffic");
+            if (header == null || !TrafficFormat.NAME.equals(header.format()) || header.classes() == null) {
+                throw new NoRecordingException(name + ": is not a traffic recording");
             }
-            if (head.version() != TrafficFormat.VERSION) {
-                throw new NoRecordingException(name + ": is a recording of version " + head.version() + "; "
+            if (header.version() != TrafficFormat.VERSION) {
+                throw new NoRecordingException(name + ": recording has version " + header.version() + "; "
                         + TrafficFormat.VERSION + " was expected");
             }
-            return calls(items, head, mapper);
+            return calls(items, header, mapper);
         } catch (IOException e) {
-            throw new NoRecordingException(name + ": is no recording of traffic (" + why(e) + ")");
+            throw new NoRecordingException(name + ": is not a traffic recording (" + reasonOf(e) + ")");
         }
     }
 
-    private static Recording calls(MappingIterator<JsonNode> items, TrafficFormat.Header head, ObjectMapper mapper) {
+    private static Recording calls(MappingIterator<JsonNode> items, TrafficFormat.Header header, ObjectMapper mapper) {
         List<RecordedCall> calls = new ArrayList<>();
         long at = 0;
         long dropped = 0;
-        String fault = "cut off after %d calls: no end was found";
+        String fault = "cut off after %d calls: end item is missing";
         try {
             while (fault != null && items.hasNextValue()) {
                 JsonNode item = items.nextValue();
                 if (item.isObject()) {
                     dropped = mapper.treeToValue(item, TrafficFormat.End.class).dropped();
                     fault = null;
-                } else if (!sound(item, head) || calls.size() >= MOST_CALLS) {
-                    fault = "spoilt after %d calls: an item is no call";
+                } else if (!isValid(item, header) || calls.size() >= MAX_CALLS) {
+                    fault = "corrupt after %d calls: an item is not a valid call";
                     break;
                 } else {
                     at += item.get(0).longValue();
@@ -90,13 +99,14 @@
                 }
             }
         } catch (IOException e) {
-            fault = (e instanceof EOFException ? "cut off" : "cut off or spoilt") + " after %d calls: " + why(e);
+            fault = (e instanceof EOFException ? "cut off" : "cut off or corrupt") + " after %d calls: " + reasonOf(e);
         }
-        return new Recording(head.started(), head.place(), head.softswitches(), head.classes(), List.copyOf(calls),
-                dropped, fault == null ? null : fault.replace("%d", Integer.toString(calls.size())));
+        return new Recording(header.started(), header.place(), header.softswitches(), header.classes(),
+                List.copyOf(calls), dropped,
+                fault == null ? null : fault.replace("%d", Integer.toString(calls.size())));
     }
 
-    private static boolean sound(JsonNode item, TrafficFormat.Header head) {
+    private static boolean isValid(JsonNode item, TrafficFormat.Header header) {
         if (!item.isArray() || item.size() != TrafficFormat.FIELDS) {
             return false;
         }
@@ -106,19 +116,19 @@
             }
         }
         return item.get(0).longValue() >= 0 && item.get(1).intValue() >= 0
-                && item.get(1).intValue() < head.classes().size();
+                && item.get(1).intValue() < header.classes().size();
     }
 
     private static RecordedCall call(JsonNode item, long at) {
         int flags = item.get(5).intValue();
         return new RecordedCall(at, item.get(1).intValue(), item.get(2).intValue(), item.get(3).doubleValue(),
-                item.get(4).longValue() * MILLIS, (flags & TrafficFormat.REDIAL) != 0,
+                item.get(4).longValue() * MICROS_PER_MILLI, (flags & TrafficFormat.REDIAL) != 0,
                 (flags & TrafficFormat.TRANSIT) != 0, (flags & TrafficFormat.CUT) != 0, item.get(6).longValue());
     }
 
-    private static String why(IOException e) {
+    private static String reasonOf(IOException e) {
         String text = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-        String kind = e instanceof ZipException ? "unpacking failed, " : "";
+        String kind = e instanceof ZipException ? "decompression failed, " : "";
         return kind + String.valueOf(text).replaceAll("\\s+", " ");
     }
 }
--- a/src/main/java/wingspread/record/TrafficFormat.java
+++ b/src/main/java/wingspread/record/TrafficFormat.java
@@ -8,9 +8,9 @@
 
 /**
  * The format of recordings, version 1: a gzip stream (RFC 1952) of a CBOR sequence (RFC 8742). The first item is the
- * {@link Header}; then come arrays of eight numbers, one for each try: microseconds since the one before, class,
- * destination, width, milliseconds the caller waits, flags (1 dialled again, 2 in transit, 4 cut and comes again),
- * the number's hash, calls dropped so far; the last item is the {@link End}. A file without an end was cut off.
+ * {@link Header}; it is followed by arrays of eight numbers, one per call offer: microseconds since the previous one,
+ * class, destination, width, milliseconds that the caller waits, flags (1 redial, 2 transit, 4 repeats a cut call),
+ * hash of the number, calls dropped so far; the last item is the {@link End}. A file without an end item is truncated.
  */
 final class TrafficFormat {
     static final String NAME = "wingspread-traffic";
@@ -19,20 +19,30 @@
     static final int REDIAL = 1;
     static final int TRANSIT = 2;
     static final int CUT = 4;
-    private static final int DEEPEST = 8;
-    private static final int LONGEST_TEXT = 1 << 12;
+    private static final int MAX_NESTING_DEPTH = 8;
+    private static final int MAX_TEXT_LENGTH = 1 << 12;
 
     private TrafficFormat() { }
 
-    /** Who recorded, when (Unix microseconds), and the names of the classes. */
+    /**
+     * The first item: the recording softswitch and the names of the call classes.
+     *
+     * @param started start of the recording in Unix microseconds
+     */
     record Header(String format, int version, long started, int place, int softswitches, List<String> classes) { }
 
-    /** How a recording ended; {@code full} where its file had reached its longest. */
+    /**
+     * The last item.
+     *
+     * @param calls number of calls in the file
+     * @param dropped number of calls that were offered but not recorded
+     * @param full whether the file reached its max size
+     */
     record End(long calls, long dropped, boolean full) { }
 
     static ObjectMapper mapper() {
         return new ObjectMapper(CBORFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-                .maxNestingDepth(DEEPEST).maxStringLength(LONGEST_TEXT).build()).build())
+                .maxNestingDepth(MAX_NESTING_DEPTH).maxStringLength(MAX_TEXT_LENGTH).build()).build())
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 }
--- a/src/main/java/wingspread/record/TrafficWriter.java
+++ b/src/main/java/wingspread/record/TrafficWriter.java
@@ -8,31 +8,31 @@
 import java.util.List;
 import java.util.zip.GZIPOutputStream;
 
-/** Writes a recording. It is full when the compressed stream has reached its longest; what follows is not written. */
+/** Writes a recording. Once the compressed stream has reached its max size, further calls are counted only. */
 public final class TrafficWriter implements AutoCloseable {
-    private static final int MICROS = 1_000;
-    /** So many calls go to the compressor before what it made of them is counted. */
-    private static final int CALLS_A_BLOCK = 64;
-    /** What a block of calls that do not pack, the end and the compressor's last bytes need at the most. */
-    private static final int ROOM_FOR_END = 8_192;
+    private static final int MICROS_PER_MILLI = 1_000;
+    /** Calls passed to the compressor between two checks of the compressed size. */
+    private static final int CALLS_PER_BLOCK = 64;
+    /** Max bytes needed by a block of incompressible calls, the end item and the compressor's trailer. */
+    private static final int RESERVED_END_BYTES = 8_192;
 
-    private final Counting counting;
-    private final GZIPOutputStream zip;
+    private final ByteCounter byteCounter;
+    private final GZIPOutputStream gzip;
     private final SequenceWriter items;
-    private final long longest;
-    private long last;
+    private final long maxBytes;
+    private long lastAt;
     private long calls;
     private int inBlock;
-    /** Calls that never came here, and those that came when the file was full. */
+    /** Calls dropped before they reached this writer; {@code unwritten} counts those that arrived when it was full. */
     private long dropped;
     private long unwritten;
     private boolean full;
 
-    /** Counts what goes to the file. */
-    private static final class Counting extends FilterOutputStream {
+    /** Counts the bytes written to the file. */
+    private static final class ByteCounter extends FilterOutputStream {
         private long bytes;
 
-        Counting(OutputStream out) {
+        ByteCounter(OutputStream out) {
             super(out);
         }
 
@@ -50,28 +50,31 @@
     }
 
     /**
-     * Starts a recording.
+     * Starts a recording and writes its header.
      *
-     * @param started Unix microseconds
-     * @param longest the most bytes of the file
+     * @param started start of the recording in Unix microseconds
+     * @param place index of the recording softswitch's exchange
+     * @param softswitches number of softswitches in the fleet
+     * @param classes names of the call classes
+     * @param maxBytes max size of the file in bytes
      */
     public TrafficWriter(OutputStream out, long started, int place, int softswitches, List<String> classes,
-            long longest) throws IOException {
-        this.counting = new Counting(out);
-        this.zip = new GZIPOutputStream(counting, 1 << 13, true);
-        this.longest = longest;
+            long maxBytes) throws IOException {
+        this.byteCounter = new ByteCounter(out);
+        this.gzip = new GZIPOutputStream(byteCounter, 1 << 13, true);
+        this.maxBytes = maxBytes;
         ObjectMapper mapper = TrafficFormat.mapper();
-        this.items = mapper.writer().writeValues(zip);
+        this.items = mapper.writer().writeValues(gzip);
         items.write(new TrafficFormat.Header(TrafficFormat.NAME, TrafficFormat.VERSION, started, place, softswitches,
                 classes));
     }
 
-    /** Notes how many calls were dropped so far before they came here. */
+    /** Sets the number of calls dropped so far before they reached this writer. */
     public void dropped(long soFar) {
         dropped = soFar;
     }
 
-    /** Writes a call; they come in the order of their times. */
+    /** Writes a call. Calls must be passed in order of time. */
     public void write(RecordedCall call) throws IOException {
         if (full) {
             unwritten++;
@@ -79,29 +82,29 @@
         }
         int flags = (call.redial() ? TrafficFormat.REDIAL : 0) + (call.transit() ? TrafficFormat.TRANSIT : 0)
                 + (call.cut() ? TrafficFormat.CUT : 0);
-        items.write(List.of(call.at() - last, call.callClass(), call.destination(), call.width(),
-                call.left() / MICROS, flags, call.number(), dropped));
-        last = call.at();
+        items.write(List.of(call.at() - lastAt, call.callClass(), call.destination(), call.width(),
+                call.left() / MICROS_PER_MILLI, flags, call.number(), dropped));
+        lastAt = call.at();
         calls++;
-        if (++inBlock == CALLS_A_BLOCK) {
+        if (++inBlock == CALLS_PER_BLOCK) {
             flush();
         }
     }
 
-    /** Sends on what was written, so that a cut later loses nothing before it. */
+    /** Flushes the compressor, so that a later truncation does not lose the calls written before. */
     public void flush() throws IOException {
         items.flush();
-        zip.flush();
+        gzip.flush();
         inBlock = 0;
-        full = counting.bytes + ROOM_FOR_END >= longest;
+        full = byteCounter.bytes + RESERVED_END_BYTES >= maxBytes;
     }
 
-    /** Whether the file has reached its longest. */
+    /** Returns whether the file has reached its max size. */
     public boolean full() {
         return full;
     }
 
-    /** Calls that are not in the file, for whatever reason. */
+    /** Returns the number of calls missing from the file, whether dropped or not written. */
     public long missing() {
         return dropped + unwritten;
     }
--- a/src/test/java/wingspread/lab/host/HostTest.java
+++ b/src/test/java/wingspread/lab/host/HostTest.java
@@ -26,9 +26,9 @@
 import wingspread.lab.world.Model;
 import wingspread.testing.Fuzz;
 
-/** Softswitches at the other end of two streams do what those in this process do, or end with a reason. */
+/** Remote softswitches behave like local ones; faults of the host or of its driver are reported with a reason. */
 class HostTest {
-    private static final int PIPE = 1 << 20;
+    private static final int PIPE_BYTES = 1 << 20;
 
     private static byte[] play(Softswitches softswitches) throws IOException {
         Streams streams = new Streams(8, 0);
@@ -41,16 +41,16 @@
         return new HostLoop("test", figures -> new LocalSoftswitches(PlannerController.with(figures)));
     }
 
-    private static RemoteSoftswitches overPipes(ControlParameters figures) throws IOException {
-        PipedInputStream toHost = new PipedInputStream(PIPE);
-        PipedInputStream fromHost = new PipedInputStream(PIPE);
+    private static RemoteSoftswitches connectOverPipes(ControlParameters figures) throws IOException {
+        PipedInputStream toHost = new PipedInputStream(PIPE_BYTES);
+        PipedInputStream fromHost = new PipedInputStream(PIPE_BYTES);
         OutputStream driverOut = new PipedOutputStream(toHost);
         OutputStream hostOut = new PipedOutputStream(fromHost);
         Thread thread = new Thread(() -> {
             try (hostOut) {
                 host().run(toHost, hostOut);
             } catch (IOException e) {
-                // The driver has gone; so does the host.
+                // The driver closed the connection, so the host ends.
                 return;
             }
         });
@@ -65,7 +65,7 @@
         });
     }
 
-    private static RemoteSoftswitches said(Object... items) throws IOException {
+    private static RemoteSoftswitches connectToHostThatSends(Object... items) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (Object item : items) {
             Wire.write(Wire.mapper(), bytes, item);
@@ -76,65 +76,70 @@
     }
 
     @Test
-    void itMakesNoDifferenceWhereTheyRun() throws IOException {
-        try (RemoteSoftswitches remote = overPipes(ControlParameters.DEFAULTS)) {
+    void remoteSoftswitchesBehaveLikeLocalOnes() throws IOException {
+        try (RemoteSoftswitches remote = connectOverPipes(ControlParameters.DEFAULTS)) {
             assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS))),
                     play(remote));
         }
     }
 
     @Test
-    void theFiguresGoAlong() throws IOException {
-        ControlParameters narrow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
-        try (RemoteSoftswitches remote = overPipes(narrow)) {
-            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(narrow))), play(remote));
+    void sendsParametersToHost() throws IOException {
+        ControlParameters smallWindow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
+        try (RemoteSoftswitches remote = connectOverPipes(smallWindow)) {
+            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(smallWindow))), play(remote));
         }
     }
 
     @Test
-    void aUsualValueThatWasGivenGoesAlongToo() throws IOException {
+    void sendsOverrideEqualToDefault() throws IOException {
         ByteArrayOutputStream sent = new ByteArrayOutputStream();
         InputStream in = new ByteArrayInputStream(bytes(new Wire.Hello("x", Wire.VERSION, "9.9"),
-                new Wire.Answer(null, List.of())));
+                new Wire.Reply(null, List.of())));
         new RemoteSoftswitches("stand-in", new ControlParameters(Map.of("tandems", 2.0)), in, sent, () -> { })
                 .begin(0, List.of());
         assertEquals(new Wire.Begin(0, Map.of("tandems", 2.0), List.of()),
-                Wire.mapper().readValue(sent.toByteArray(), Wire.Order.class));
+                Wire.mapper().readValue(sent.toByteArray(), Wire.Command.class));
     }
 
     @Test
-    void anotherVersionOfTheInterfaceIsTurnedAway() {
-        String why = assertThrows(HostException.class, () -> said(new Wire.Hello("x", 2, "9.9"))).getMessage();
-        assertEquals("stand-in speaks version 2 of the lab's interface; 1 was expected", why);
+    void rejectsOtherInterfaceVersion() {
+        String message = assertThrows(HostException.class,
+                () -> connectToHostThatSends(new Wire.Hello("x", 2, "9.9"))).getMessage();
+        assertEquals("stand-in uses version 2 of the lab's interface; 1 was expected", message);
     }
 
     @Test
-    void whatIsNoHostIsTurnedAway() {
-        assertTrue(assertThrows(HostException.class, () -> said()).getMessage().contains("no host"));
-        assertTrue(assertThrows(HostException.class, () -> said("hello")).getMessage().contains("no host"));
+    void rejectsPeerThatIsNotAHost() {
+        assertTrue(assertThrows(HostException.class, () -> connectToHostThatSends()).getMessage()
+                .contains("not a softswitch host"));
+        assertTrue(assertThrows(HostException.class, () -> connectToHostThatSends("hello")).getMessage()
+                .contains("not a softswitch host"));
     }
 
     @Test
-    void aHostThatEndsInTheMiddleIsSaid() throws IOException {
-        RemoteSoftswitches remote = said(new Wire.Hello("x", Wire.VERSION, "9.9"), new Wire.Answer(null, List.of()));
+    void reportsHostThatEndsDuringRun() throws IOException {
+        RemoteSoftswitches remote = connectToHostThatSends(new Wire.Hello("x", Wire.VERSION, "9.9"),
+                new Wire.Reply(null, List.of()));
         remote.begin(0, List.of());
-        String why = assertThrows(HostException.class, () -> remote.turn(1, List.of())).getMessage();
-        assertTrue(why.contains("ended in the middle"), why);
+        String message = assertThrows(HostException.class, () -> remote.turn(1, List.of())).getMessage();
+        assertTrue(message.contains("ended during a run"), message);
     }
 
     @Test
-    void whatTheHostCannotDoIsSaid() throws IOException {
-        RemoteSoftswitches remote = said(new Wire.Hello("x", Wire.VERSION, "9.9"), new Wire.Answer("no such", null));
+    void reportsErrorFromHost() throws IOException {
+        RemoteSoftswitches remote = connectToHostThatSends(new Wire.Hello("x", Wire.VERSION, "9.9"),
+                new Wire.Reply("no such", null));
         assertEquals("stand-in: no such",
                 assertThrows(HostException.class, () -> remote.begin(0, List.of())).getMessage());
     }
 
-    private static List<Wire.Answer> served(byte[] orders) throws IOException {
+    private static List<Wire.Reply> repliesTo(byte[] commands) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        host().run(new ByteArrayInputStream(orders), out);
-        var parser = Wire.reading(Wire.mapper(), new ByteArrayInputStream(out.toByteArray()));
+        host().run(new ByteArrayInputStream(commands), out);
+        var parser = Wire.newParser(Wire.mapper(), new ByteArrayInputStream(out.toByteArray()));
         assertEquals(Wire.VERSION, parser.readValueAs(Wire.Hello.class).version());
-        return Wire.mapper().readerFor(Wire.Answer.class).<Wire.Answer>readValues(parser).readAll();
+        return Wire.mapper().readerFor(Wire.Reply.class).<Wire.Reply>readValues(parser).readAll();
     }
 
     private static byte[] bytes(Object... items) throws IOException {
@@ -146,34 +151,34 @@
     }
 
     @Test
-    void fieldsOfALaterVersionAreSkipped() throws IOException {
-        Map<String, Object> later = Map.of("is", "begin", "now", 5, "starts", List.of(), "mood", "good");
-        List<Wire.Answer> answers = served(bytes(later, Map.of("is", "turn", "now", 6, "pace", 3)));
-        assertEquals(List.of(new Wire.Answer(null, List.of()), new Wire.Answer(null, List.of())), answers);
+    void ignoresFieldsOfLaterVersion() throws IOException {
+        Map<String, Object> laterVersion = Map.of("is", "begin", "now", 5, "starts", List.of(), "mood", "good");
+        List<Wire.Reply> replies = repliesTo(bytes(laterVersion, Map.of("is", "turn", "now", 6, "pace", 3)));
+        assertEquals(List.of(new Wire.Reply(null, List.of()), new Wire.Reply(null, List.of())), replies);
     }
 
     @Test
-    void unknownFiguresAndPlacesAreAnsweredWithAReason() throws IOException {
-        List<Wire.Answer> answers = served(bytes(new Wire.Begin(0, Map.of("nope", 1.0), List.of()),
+    void rejectsUnknownParametersAndPlaces() throws IOException {
+        List<Wire.Reply> replies = repliesTo(bytes(new Wire.Begin(0, Map.of("nope", 1.0), List.of()),
                 new Wire.Turn(1, List.of(new Softswitches.Input(3, List.of())))));
-        assertTrue(answers.get(0).error().contains("nope"));
-        assertTrue(answers.get(1).error().contains("not begun"));
-        answers = served(bytes(Map.of("is", "begin", "starts", Arrays.asList((Object) null)),
+        assertTrue(replies.get(0).error().contains("nope"));
+        assertTrue(replies.get(1).error().contains("not begun"));
+        replies = repliesTo(bytes(Map.of("is", "begin", "starts", Arrays.asList((Object) null)),
                 Map.of("is", "turn", "inputs", Arrays.asList((Object) null))));
-        assertTrue(answers.get(0).error().contains("without settings"));
-        assertTrue(answers.get(1).error().contains("not begun"));
+        assertTrue(replies.get(0).error().contains("without settings"));
+        assertTrue(replies.get(1).error().contains("not begun"));
     }
 
     @Property(tries = 500, seed = "51")
-    void spoiltOrdersEndTheHostAndNothingElse(@ForAll long seed) throws IOException {
+    void malformedCommandsAreServedOrFailWithIoException(@ForAll long seed) throws IOException {
         byte[] valid = bytes(new Wire.Begin(0, Map.of(), List.of()),
                 new Wire.Turn(1, List.of(new Softswitches.Input(0, List.of(new Happening.CallerAbandoned("00"))))));
-        assertTrue(servesOrTurnsAway(Fuzz.spoil(valid, seed)));
+        assertTrue(servesOrFailsWithMessage(Fuzz.spoil(valid, seed)));
     }
 
-    private static boolean servesOrTurnsAway(byte[] orders) {
+    private static boolean servesOrFailsWithMessage(byte[] commands) {
         try {
-            host().run(new ByteArrayInputStream(orders), new ByteArrayOutputStream());
+            host().run(new ByteArrayInputStream(commands), new ByteArrayOutputStream());
             return true;
         } catch (IOException e) {
             return e.getMessage() != null;
--- a/src/test/java/wingspread/record/RecordTest.java
+++ b/src/test/java/wingspread/record/RecordTest.java
@@ -33,10 +33,10 @@
 import wingspread.testing.Fuzz;
 import wingspread.toml.TomlException;
 
-/** Recordings: what goes in comes out, up to wherever the file is cut, and a slow disk costs calls nothing. */
+/** Recordings are read back as written, up to the point of truncation; a slow disk does not delay calls. */
 class RecordTest {
     private static final List<String> CLASSES = List.of("catalogue-page", "token-balance", "item-detail");
-    private static final long LONGEST = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
     private static List<RecordedCall> calls(long seed, int count) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -51,9 +51,9 @@
         return out;
     }
 
-    private static byte[] written(List<RecordedCall> calls, long longest) throws IOException {
+    private static byte[] encode(List<RecordedCall> calls, long maxBytes) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (TrafficWriter writer = new TrafficWriter(out, 77, 0, 7, CLASSES, longest)) {
+        try (TrafficWriter writer = new TrafficWriter(out, 77, 0, 7, CLASSES, maxBytes)) {
             writer.dropped(3);
             for (RecordedCall call : calls) {
                 writer.write(call);
@@ -68,9 +68,9 @@
     }
 
     @Property(tries = 50, seed = "61")
-    void whatIsWrittenIsRead(@ForAll long seed, @ForAll @IntRange(max = 60) int count) throws IOException {
+    void readsWhatWasWritten(@ForAll long seed, @ForAll @IntRange(max = 60) int count) throws IOException {
         List<RecordedCall> calls = calls(seed, count);
-        Recording found = read(written(calls, LONGEST));
+        Recording found = read(encode(calls, MAX_BYTES));
         assertNull(found.fault());
         assertEquals(calls, found.calls());
         assertEquals(3, found.dropped());
@@ -78,33 +78,33 @@
     }
 
     @Test
-    void cutOffAnywhereItReadsUpToTheCutAndSaysSo() throws IOException {
+    void readsTruncatedRecordingUpToTheCut() throws IOException {
         List<RecordedCall> calls = calls(5, 30);
-        byte[] whole = written(calls, LONGEST);
-        int most = 0;
+        byte[] whole = encode(calls, MAX_BYTES);
+        int maxCalls = 0;
         for (int length = 0; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
             try {
                 Recording found = read(cut);
                 assertEquals(calls.subList(0, found.calls().size()), found.calls());
-                assertTrue(found.calls().size() >= most, "a longer piece gave fewer calls");
-                most = found.calls().size();
-                // The compressor's check sum may be gone where all was read.
-                assertTrue(found.fault() != null ? found.fault().contains("after " + most + " calls")
-                        : most == calls.size());
+                assertTrue(found.calls().size() >= maxCalls, "a longer piece gave fewer calls");
+                maxCalls = found.calls().size();
+                // The compressor's checksum may be cut off although all calls were read.
+                assertTrue(found.fault() != null ? found.fault().contains("after " + maxCalls + " calls")
+                        : maxCalls == calls.size());
             } catch (Recording.NoRecordingException e) {
-                assertEquals(0, most, "the head was there before");
+                assertEquals(0, maxCalls, "the header could be read from a shorter piece");
                 assertTrue(e.getMessage().startsWith("x: "), e.getMessage());
             }
         }
-        assertEquals(calls.size(), most);
+        assertEquals(calls.size(), maxCalls);
     }
 
     @Property(tries = 500, seed = "62")
-    void spoiltRecordingsAreReadAsFarAsTheyGoOrTurnedAway(@ForAll long seed) throws IOException {
-        byte[] spoilt = Fuzz.spoil(written(calls(6, 20), LONGEST), seed);
+    void readsCorruptRecordingPartiallyOrRejectsIt(@ForAll long seed) throws IOException {
+        byte[] corrupt = Fuzz.spoil(encode(calls(6, 20), MAX_BYTES), seed);
         try {
-            Recording found = read(spoilt);
+            Recording found = read(corrupt);
             assertTrue(found.calls().size() <= 20 || found.fault() != null);
         } catch (Recording.NoRecordingException e) {
             assertTrue(e.getMessage().indexOf('\n') < 0, e.getMessage());
@@ -112,18 +112,18 @@
     }
 
     @Test
-    void aFullFileStaysWithinItsBoundAndCountsTheRest() throws IOException {
-        long longest = 10_000;
+    void fullFileStaysWithinMaxSizeAndCountsMissingCalls() throws IOException {
+        long maxBytes = 10_000;
         List<RecordedCall> calls = calls(7, 2_000);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (TrafficWriter writer = new TrafficWriter(out, 77, 0, 7, CLASSES, longest)) {
+        try (TrafficWriter writer = new TrafficWriter(out, 77, 0, 7, CLASSES, maxBytes)) {
             writer.dropped(5);
             for (RecordedCall call : calls) {
                 writer.write(call);
             }
         }
         Recording found = read(out.toByteArray());
-        assertTrue(out.size() <= longest, out.size() + " bytes");
+        assertTrue(out.size() <= maxBytes, out.size() + " bytes");
         assertNull(found.fault());
         assertEquals(calls.subList(0, found.calls().size()), found.calls());
         assertTrue(found.calls().size() > 0 && found.calls().size() < calls.size());
@@ -131,37 +131,37 @@
     }
 
     @Test
-    void anotherVersionIsNamed() throws IOException {
+    void rejectsOtherFormatVersion() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (OutputStream zip = new GZIPOutputStream(out)) {
             TrafficFormat.mapper().writeValue(zip, new TrafficFormat.Header(TrafficFormat.NAME, 9, 0, 0, 2, CLASSES));
         }
-        String why = assertThrows(Recording.NoRecordingException.class, () -> read(out.toByteArray())).getMessage();
-        assertEquals("x: is a recording of version 9; 1 was expected", why);
+        String message = assertThrows(Recording.NoRecordingException.class, () -> read(out.toByteArray())).getMessage();
+        assertEquals("x: recording has version 9; 1 was expected", message);
     }
 
     private static Request request(String number) {
         return new Request("00", "plain", 1, number, new byte[0], 5_000_000, 3, 2, -1, true, false, false);
     }
 
-    /** A disk that lets nothing through until it is told to. */
+    /** A disk whose writes block until released. */
     private static final class StuckDisk extends OutputStream {
-        final CountDownLatch reached = new CountDownLatch(1);
-        final CountDownLatch free = new CountDownLatch(1);
+        final CountDownLatch blocked = new CountDownLatch(1);
+        final CountDownLatch released = new CountDownLatch(1);
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         boolean stuck;
 
         @Override
         public void write(int one) {
             if (stuck) {
-                reached.countDown();
-                boolean freed = false;
-                while (!freed) {
+                blocked.countDown();
+                boolean done = false;
+                while (!done) {
                     try {
-                        free.await();
-                        freed = true;
+                        released.await();
+                        done = true;
                     } catch (InterruptedException e) {
-                        // The recorder's end interrupts its thread; a disk does not hear that.
+                        // Recorder.close() interrupts its thread, which does not end a blocked write.
                         continue;
                     }
                 }
@@ -171,18 +171,18 @@
     }
 
     @Test
-    void aDiskThatHangsDropsCallsAndHoldsNobodyUp() throws Exception {
+    void hangingDiskDropsCallsWithoutBlocking() throws Exception {
         StuckDisk disk = new StuckDisk();
-        TrafficWriter writer = new TrafficWriter(disk, 0, 0, 7, CLASSES, LONGEST);
+        TrafficWriter writer = new TrafficWriter(disk, 0, 0, 7, CLASSES, MAX_BYTES);
         disk.stuck = true;
         Recorder recorder = new Recorder(writer, 0, 4, new byte[] {1});
         recorder.offered(1_000, request("ab"));
-        disk.reached.await();
+        disk.blocked.await();
         for (int i = 0; i < 20; i++) {
             recorder.offered(2_000 + i, request("ab"));
         }
         assertEquals(16, recorder.dropped());
-        disk.free.countDown();
+        disk.released.countDown();
         recorder.close();
         Recording found = read(disk.bytes.toByteArray());
         assertEquals(5, found.calls().size());
@@ -195,31 +195,31 @@
     }
 
     @Test
-    void whatWaitsForTheDiskIsBoundedInSizeToo() {
-        HeardCalls heard = new HeardCalls(2);
+    void queueBoundsCallsAndNumberLength() {
+        OfferedCallQueue queue = new OfferedCallQueue(2);
         for (int i = 0; i < 5; i++) {
-            heard.offer(i, request("a".repeat(16_000)));
+            queue.offer(i, request("a".repeat(16_000)));
         }
-        assertEquals(3, heard.dropped());
-        assertEquals(64, heard.poll().number().length());
-        heard.offer(9, request("ab"));
-        assertEquals(3, heard.dropped());
-        assertEquals(1, heard.poll().at());
-        assertEquals("ab", heard.poll().number());
-        assertNull(heard.poll());
+        assertEquals(3, queue.dropped());
+        assertEquals(64, queue.poll().number().length());
+        queue.offer(9, request("ab"));
+        assertEquals(3, queue.dropped());
+        assertEquals(1, queue.poll().at());
+        assertEquals("ab", queue.poll().number());
+        assertNull(queue.poll());
     }
 
     @Test
-    void aNumberIsOnlyKnownUnderItsKey() {
-        NumberHash one = new NumberHash(new byte[] {1});
-        assertEquals(one.of("ab"), new NumberHash(new byte[] {1}).of("ab"));
-        assertNotEquals(one.of("ab"), new NumberHash(new byte[] {2}).of("ab"));
-        assertNotEquals(one.of("ab"), one.of("ac"));
-        assertEquals(0, one.of(""));
+    void hashDependsOnKeyAndNumber() {
+        NumberHash hash = new NumberHash(new byte[] {1});
+        assertEquals(hash.of("ab"), new NumberHash(new byte[] {1}).of("ab"));
+        assertNotEquals(hash.of("ab"), new NumberHash(new byte[] {2}).of("ab"));
+        assertNotEquals(hash.of("ab"), hash.of("ac"));
+        assertEquals(0, hash.of(""));
     }
 
     @Test
-    void whatTheFileUnderDeploySwitchesOnIsRecorded(@TempDir Path folder) throws IOException {
+    void recordsWhenEnabledInDeployFile(@TempDir Path folder) throws IOException {
         assertFalse(Switch.mayBeOn(Path.of("deploy/record.toml")));
         assertNull(RecordConfig.read(Path.of("deploy/record.toml")));
         Path config = folder.resolve("record.toml");
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void aFileUnderDeployThatIsWrongIsTurnedAway(@TempDir Path folder) throws IOException {
+    void rejectsInvalidConfigFile(@TempDir Path folder) throws IOException {
         Path config = folder.resolve("record.toml");
         Files.writeString(config, "enabled = true\nfile = \"x\"\nheld-calls = 0\nlongest-megabytes = 1\n");
         assertTrue(assertThrows(TomlException.class, () -> RecordConfig.read(config)).getMessage()
@@ -246,19 +246,19 @@
     }
 
     @Test
-    void theModelPlaysTheFirstTriesOfRecordings() {
+    void modelPlaysOnlyFreshCallsOfRecordings() {
         List<RecordedCall> all = calls(9, 40);
-        Recording one = new Recording(0, 0, 7, CLASSES, all, 0, null);
-        List<RecordedTraffic.Call> played = Scenario.named("usual").with(List.of(one)).day(new Streams(1, 0))
+        Recording recording = new Recording(0, 0, 7, CLASSES, all, 0, null);
+        List<RecordedTraffic.Call> played = Scenario.named("usual").with(List.of(recording)).day(new Streams(1, 0))
                 .recorded().calls();
         assertEquals(all.stream().filter(c -> !c.redial() && !c.transit() && !c.cut()).map(RecordedCall::number)
                 .toList(), played.stream().map(RecordedTraffic.Call::number).toList());
     }
 
     @Test
-    void recordingsThatDoNotFitTheScenarioAreNamed() {
-        Recording stranger = new Recording(0, 9, 12, CLASSES, calls(9, 4), 0, null);
-        assertTrue(assertThrows(TomlException.class, () -> Scenario.named("usual").with(List.of(stranger)))
+    void rejectsRecordingThatDoesNotFitScenario() {
+        Recording otherFleet = new Recording(0, 9, 12, CLASSES, calls(9, 4), 0, null);
+        assertTrue(assertThrows(TomlException.class, () -> Scenario.named("usual").with(List.of(otherFleet)))
                 .getMessage().contains("place 9"));
     }
 }
