--- a/src/main/java/wingspread/lab/compare/Calibration.java
+++ b/src/main/java/wingspread/lab/compare/Calibration.java
@@ -3,13 +3,19 @@
 import org.apache.commons.statistics.distribution.BetaDistribution;
 
 /**
- * How often comparisons of a variant with itself declared a difference, with the exact 95% interval for the true
- * share (Clopper and Pearson 1934). About one in twenty should.
+ * The rate at which comparisons of a variant with itself declared a difference, with the exact 95% interval of the true
+ * rate (Clopper and Pearson 1934). The expected rate is about 5%.
+ *
+ * @param comparisons number of comparisons
+ * @param declared number of comparisons that declared a difference
+ * @param low lower bound of the interval
+ * @param high upper bound of the interval
+ * @param meanPairs mean number of pairs of runs per comparison
  */
 public record Calibration(int comparisons, int declared, double low, double high, double meanPairs) {
     private static final double TAIL = 0.025;
 
-    /** Counts what was declared. */
+    /** Computes the interval from the counts. */
     public static Calibration of(int comparisons, int declared, double meanPairs) {
         double low = declared == 0 ? 0
                 : BetaDistribution.of(declared, comparisons - declared + 1.0).inverseCumulativeProbability(TAIL);
--- a/src/main/java/wingspread/lab/compare/Comparer.java
+++ b/src/main/java/wingspread/lab/compare/Comparer.java
@@ -11,12 +11,16 @@
 import wingspread.lab.measure.Service;
 import wingspread.lab.world.Model;
 
-/** Plays two variants on the same days, pair by pair, until the difference is known as well as asked. */
+/** Runs two variants on the same days, in pairs, until the difference is known with the requested precision. */
 public final class Comparer {
     private static final double CONFIDENCE = 0.95;
-    private static final int MOST_BREACHES = 20;
+    private static final int MAX_BREACHES = 20;
 
-    /** A variant: its name and its softswitches; {@code family} other than 0 gives them randomness of their own. */
+    /**
+     * A variant under comparison.
+     *
+     * @param family 0 to give its softswitches the random streams of the day, else a family of separate ones
+     */
     public record Variant(String name, SoftswitchPool softswitches, int family) { }
 
     private record Pair(Model.Run a, Model.Run b) { }
@@ -26,12 +30,12 @@
     private final Runnable progress;
     private final BiConsumer<Model.Run, Model.Run> each;
 
-    /** A comparer; {@code progress} is run after each pair, on its thread. */
+    /** Creates a comparer; {@code progress} is called after each pair, on the thread that ran it. */
     public Comparer(Experiment experiment, Sampling sampling, Runnable progress) {
         this(experiment, sampling, progress, (runA, runB) -> { });
     }
 
-    /** The same; {@code each} hears of every pair in the order of the days. */
+    /** Creates a comparer that also passes every pair of runs to {@code each}, in the order of the days. */
     public Comparer(Experiment experiment, Sampling sampling, Runnable progress,
             BiConsumer<Model.Run, Model.Run> each) {
         this.each = each;
@@ -40,7 +44,11 @@
         this.progress = progress;
     }
 
-    /** Compares; days are taken from a replication number on, so that comparisons can be repeated on fresh days. */
+    /**
+     * Compares two variants.
+     *
+     * @param firstReplication number of the first day, so that comparisons can be repeated on other days
+     */
     public Comparison compare(Variant a, Variant b, int firstReplication) {
         List<Pair> pairs = new ArrayList<>();
         Sampling.Step step = sampling.first();
@@ -51,8 +59,8 @@
                 progress.run();
                 return pair;
             }));
-            Interval sofar = difference(pairs, Service::result, CONFIDENCE);
-            step = sampling.next(++stages, sofar);
+            Interval intervalSoFar = difference(pairs, Service::result, CONFIDENCE);
+            step = sampling.next(++stages, intervalSoFar);
         }
         pairs.forEach(pair -> each.accept(pair.a(), pair.b()));
         boolean narrow = step instanceof Sampling.Stop stop && stop.narrow();
@@ -67,7 +75,7 @@
     }
 
     private static Interval difference(List<Pair> pairs, ToDoubleFunction<Service> part, double confidence) {
-        // A class that nobody called on a day has no service there, on either side.
+        // A class without calls on a day has no service value for that day, for either variant.
         return Interval.of(pairs.stream().mapToDouble(
                 pair -> part.applyAsDouble(pair.b().service()) - part.applyAsDouble(pair.a().service()))
                 .filter(value -> !Double.isNaN(value)).toArray(), confidence);
@@ -79,7 +87,7 @@
                 .filter(value -> !Double.isNaN(value)).average().orElse(Double.NaN);
     }
 
-    /** Each part at the confidence that lets all of them hold together (Bonferroni). */
+    /** Computes the parts' differences, with a Bonferroni correction for the joint confidence of all parts. */
     private static List<Comparison.Part> parts(List<Pair> pairs) {
         List<String> names = new ArrayList<>(List.of("whole run", "worst 10 s", "worst class", "late failures",
                 "wasted work"));
@@ -98,11 +106,11 @@
 
     private static List<String> breaches(List<Pair> pairs) {
         List<String> out = new ArrayList<>();
-        for (int i = 0; i < pairs.size() && out.size() < MOST_BREACHES; i++) {
+        for (int i = 0; i < pairs.size() && out.size() < MAX_BREACHES; i++) {
             int day = i;
             pairs.get(i).a().breaches().forEach(breach -> out.add("A on day " + day + ", " + breach));
             pairs.get(i).b().breaches().forEach(breach -> out.add("B on day " + day + ", " + breach));
         }
-        return out.subList(0, Math.min(out.size(), MOST_BREACHES));
+        return out.subList(0, Math.min(out.size(), MAX_BREACHES));
     }
 }
--- a/src/main/java/wingspread/lab/compare/Comparison.java
+++ b/src/main/java/wingspread/lab/compare/Comparison.java
@@ -4,23 +4,25 @@
 import java.util.Locale;
 
 /**
- * What a comparison of two variants found.
+ * The result of a comparison of two variants.
  *
- * @param service the difference in the result, B less A, with 95% confidence
- * @param parts the differences that the result is made of, and of each class; together 95%, by Bonferroni
- * @param narrow whether the interval is as narrow as was asked
- * @param breaches broken rules, in words; those of A first
+ * @param service difference of the service, B minus A, with 95% confidence
+ * @param parts differences of the components of the service and of each class; 95% joint confidence (Bonferroni)
+ * @param narrow whether the interval is as narrow as requested
+ * @param stages number of sampling stages
+ * @param calls number of calls in all runs
+ * @param breaches descriptions of rule breaches; for each day, those of A first
  */
 public record Comparison(String a, String b, String scenario, long seed, Interval service, double meanA, double meanB,
         List<Part> parts, boolean narrow, int stages, long calls, List<String> breaches) {
 
-    /** One part's difference. */
+    /** The difference of one component of the service. */
     public record Part(String name, double meanA, double meanB, Interval difference) { }
 
-    /** What it comes to. */
+    /** The conclusion on variant B. */
     public enum Verdict { NO_DIFFERENCE, BETTER, WORSE, UNDECIDED, RULE_BROKEN }
 
-    /** The verdict on B. */
+    /** Returns the verdict on B. */
     public Verdict verdict() {
         if (!breaches.isEmpty()) {
             return Verdict.RULE_BROKEN;
@@ -31,7 +33,7 @@
         return narrow ? Verdict.NO_DIFFERENCE : Verdict.UNDECIDED;
     }
 
-    /** One plain sentence. */
+    /** Returns the result as a sentence. */
     public String sentence() {
         String figures = String.format(Locale.ROOT, "%+.4f, 95%% between %+.4f and %+.4f, from %d pairs of days",
                 service.mean(), service.low(), service.high(), service.n());
--- a/src/main/java/wingspread/lab/compare/Interval.java
+++ b/src/main/java/wingspread/lab/compare/Interval.java
@@ -6,14 +6,16 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /**
- * A mean with its confidence interval after Student: exact for normal values, near enough for means of many calls.
+ * A mean with its confidence interval by Student's t-distribution: exact for normally distributed values and a good
+ * approximation for means over many calls.
  *
- * @param half half the width of the interval; infinite for fewer than two values
- * @param deviation the standard deviation of one value
+ * @param half half-width of the interval; infinite for fewer than two values
+ * @param deviation standard deviation of a single value; NaN for fewer than two values
+ * @param n number of values
  */
 public record Interval(double mean, double half, double deviation, int n) {
     /**
-     * The interval that covers the true mean with this confidence.
+     * Computes the interval that covers the true mean with this confidence.
      *
      * @param confidence between 0 and 1, as in 0.95
      */
@@ -37,7 +39,7 @@
         return mean + half;
     }
 
-    /** Whether 0 lies outside. */
+    /** Returns whether 0 lies outside the interval. */
     public boolean excludesZero() {
         return low() > 0 || high() < 0;
     }
--- a/src/main/java/wingspread/lab/compare/Outage.java
+++ b/src/main/java/wingspread/lab/compare/Outage.java
@@ -7,85 +7,87 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * How long redials stay above their usual rate after troubles have ended: the same days played without the troubles
- * give what is usual. The interval comes from drawing the days anew with replacement (the bootstrap's percentiles).
+ * Measures how long redials stay above their baseline rate after the faults have ended. The baseline comes from runs of
+ * the same days without the faults; the confidence interval from resampling the days with replacement (percentile
+ * bootstrap).
  */
 public final class Outage {
-    /** Redials count as usual again within this share of the usual rate, */
-    private static final double WITHIN = 0.1;
-    /** and this share of the first tries beside, where hardly anybody dials again as a rule. */
-    private static final double OF_FIRST_TRIES = 0.005;
-    /** For so many seconds on end. */
-    private static final int SECONDS_ON_END = 2;
-    private static final int DRAWS = 1_000;
-    private static final double TAIL = 0.025;
+    /** Redials have recovered if they exceed the baseline by at most this share of it, */
+    private static final double BASELINE_TOLERANCE = 0.1;
+    /** plus this share of the fresh calls, for baselines near zero. */
+    private static final double FRESH_CALL_TOLERANCE = 0.005;
+    /** Number of consecutive seconds at that level that count as recovery. */
+    private static final int RECOVERY_SECONDS = 2;
+    private static final int RESAMPLES = 1_000;
+    private static final double TAIL_PROBABILITY = 0.025;
 
-    private final int endsAt;
-    private final double firstTries;
+    private final int faultEndSecond;
+    private final double freshCallsPerSecond;
 
-    /** Seconds until redials were usual again, with the 95% interval; {@link Double#POSITIVE_INFINITY} for never. */
+    /** Seconds until redials recovered, with the 95% interval; {@link Double#POSITIVE_INFINITY} for no recovery. */
     public record Back(double seconds, double low, double high) { }
 
     /**
-     * Looks at what follows the end of the last trouble.
+     * Creates a measurement of the time after the end of the last fault.
      *
-     * @param endsAt second of the day in which it ends
-     * @param firstTries a second
+     * @param faultEndSecond second of the day in which the last fault ends
+     * @param freshCallsPerSecond fresh calls per second
      */
-    public Outage(int endsAt, double firstTries) {
-        this.endsAt = endsAt;
-        this.firstTries = firstTries;
+    public Outage(int faultEndSecond, double freshCallsPerSecond) {
+        this.faultEndSecond = faultEndSecond;
+        this.freshCallsPerSecond = freshCallsPerSecond;
     }
 
     /**
-     * Seconds from the end on until redials are back.
+     * Returns the time from the end of the last fault until redials recovered.
      *
-     * @param usual redials by second, for each day without the troubles
-     * @param struck the same for the same days with them
+     * @param baseline redials per second of each day without the faults
+     * @param faulted redials per second of the same days with the faults
+     * @param seed seed of the bootstrap
      */
-    public Back back(List<double[]> usual, List<double[]> struck, long seed) {
+    public Back back(List<double[]> baseline, List<double[]> faulted, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        double[] drawn = new double[DRAWS];
-        for (int i = 0; i < DRAWS; i++) {
-            List<double[]> someUsual = new ArrayList<>();
-            List<double[]> someStruck = new ArrayList<>();
-            for (int day = 0; day < usual.size(); day++) {
-                int which = random.nextInt(usual.size());
-                someUsual.add(usual.get(which));
-                someStruck.add(struck.get(which));
+        double[] resampled = new double[RESAMPLES];
+        for (int i = 0; i < RESAMPLES; i++) {
+            List<double[]> baselineSample = new ArrayList<>();
+            List<double[]> faultedSample = new ArrayList<>();
+            for (int day = 0; day < baseline.size(); day++) {
+                int chosen = random.nextInt(baseline.size());
+                baselineSample.add(baseline.get(chosen));
+                faultedSample.add(faulted.get(chosen));
             }
-            drawn[i] = seconds(mean(someUsual), mean(someStruck));
+            resampled[i] = recoverySeconds(mean(baselineSample), mean(faultedSample));
         }
-        Arrays.sort(drawn);
-        return new Back(seconds(mean(usual), mean(struck)), drawn[(int) (TAIL * DRAWS)],
-                drawn[(int) ((1 - TAIL) * DRAWS) - 1]);
+        Arrays.sort(resampled);
+        return new Back(recoverySeconds(mean(baseline), mean(faulted)), resampled[(int) (TAIL_PROBABILITY * RESAMPLES)],
+                resampled[(int) ((1 - TAIL_PROBABILITY) * RESAMPLES) - 1]);
     }
 
-    private double seconds(double[] usual, double[] struck) {
-        double level = 0;
-        for (int i = endsAt; i < usual.length - 1; i++) {
-            level += usual[i] / (usual.length - 1 - endsAt);
+    private double recoverySeconds(double[] baseline, double[] faulted) {
+        double baselineMean = 0;
+        for (int i = faultEndSecond; i < baseline.length - 1; i++) {
+            baselineMean += baseline[i] / (baseline.length - 1 - faultEndSecond);
         }
-        double most = level * (1 + WITHIN) + OF_FIRST_TRIES * firstTries;
-        int calm = 0;
-        // The day's last second is not a whole one.
-        for (int i = endsAt; i < struck.length - 1; i++) {
-            calm = struck[i] <= most ? calm + 1 : 0;
-            if (calm == SECONDS_ON_END) {
-                return i + 1 - SECONDS_ON_END - endsAt;
+        double threshold = baselineMean * (1 + BASELINE_TOLERANCE) + FRESH_CALL_TOLERANCE * freshCallsPerSecond;
+        int recoveredSeconds = 0;
+        // The last second of the day is incomplete.
+        for (int i = faultEndSecond; i < faulted.length - 1; i++) {
+            recoveredSeconds = faulted[i] <= threshold ? recoveredSeconds + 1 : 0;
+            if (recoveredSeconds == RECOVERY_SECONDS) {
+                return i + 1 - RECOVERY_SECONDS - faultEndSecond;
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    /** The mean of each second over days. */
+    /** Returns the mean over the days, for each second. */
     public static double[] mean(List<double[]> days) {
-        double[] out = new double[days.get(0).length];
+        double[] means = new double[days.get(0).length];
         for (double[] day : days) {
-            for (int i = 0; i < out.length; i++) {
-                out[i] += day[i] / days.size();
+            for (int i = 0; i < means.length; i++) {
+                means[i] += day[i] / days.size();
             }
         }
-        return out;
+        return means;
     }
 }
--- a/src/main/java/wingspread/lab/compare/Setting.java
+++ b/src/main/java/wingspread/lab/compare/Setting.java
@@ -12,19 +12,20 @@
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
-/** A setting of the module: the usual figures, but for those that a file or a line gives otherwise. */
+/** A set of control parameters of the decision module: the defaults with overrides from a file or from text. */
 public record Setting(String name, ControlParameters figures) {
     private static final String SCHEMA = "/wingspread/lab/setting.schema.json";
-    private static final String USUAL = "usual";
+    private static final String DEFAULTS_NAME = "usual";
 
     /**
-     * A setting as people name it: {@code usual}, a TOML file, or {@code figure=value} pairs with commas between.
+     * Returns the setting given on a command line: {@code usual} for the defaults, a TOML file, or comma-separated
+     * {@code name=value} pairs.
      *
-     * @throws TomlException where it cannot be taken
+     * @throws TomlException if the file cannot be read or a parameter is invalid
      */
     public static Setting named(String text) {
-        if (text.equals(USUAL)) {
-            return new Setting(USUAL, ControlParameters.DEFAULTS);
+        if (text.equals(DEFAULTS_NAME)) {
+            return new Setting(DEFAULTS_NAME, ControlParameters.DEFAULTS);
         }
         if (!text.contains("=")) {
             return of(text, TomlFile.read(Path.of(text), SCHEMA));
@@ -37,16 +38,16 @@
     }
 
     private static Setting of(String name, ObjectNode tree) {
-        Map<String, Double> given = new HashMap<>();
-        tree.path("figures").properties().forEach(entry -> given.put(entry.getKey(), value(name, entry)));
+        Map<String, Double> overrides = new HashMap<>();
+        tree.path("figures").properties().forEach(entry -> overrides.put(entry.getKey(), value(name, entry)));
         try {
-            return new Setting(name, new ControlParameters(given));
+            return new Setting(name, new ControlParameters(overrides));
         } catch (IllegalArgumentException e) {
             throw new TomlException(name + ": " + e.getMessage());
         }
     }
 
-    /** Times are told with their unit, all else without one. */
+    /** Parses a value: a time has a unit, any other value has none. */
     private static double value(String name, Map.Entry<String, JsonNode> entry) {
         boolean isTime = ControlParameters.DEFAULTS.all().stream()
                 .filter(f -> f.name().equals(entry.getKey())).map(Parameter::unit)
--- a/src/main/java/wingspread/lab/report/Side.java
+++ b/src/main/java/wingspread/lab/report/VariantData.java
@@ -5,16 +5,16 @@
 import org.HdrHistogram.Histogram;
 import wingspread.lab.world.Model;
 
-/** What the plots need of all runs of one variant. */
-final class Side {
+/** Data of all runs of one variant, accumulated for the plots. */
+final class VariantData {
     final String name;
-    final Band service = new Band();
-    final Band redials = new Band();
-    final Band busy = new Band();
-    final Band out = new Band();
+    final TimeSeries service = new TimeSeries();
+    final TimeSeries redials = new TimeSeries();
+    final TimeSeries busy = new TimeSeries();
+    final TimeSeries outstanding = new TimeSeries();
     final List<Histogram> delays = new ArrayList<>();
 
-    Side(String name) {
+    VariantData(String name) {
         this.name = name;
     }
 
@@ -22,7 +22,7 @@
         service.add(run.service().bySecond());
         redials.add(run.timeline().redials());
         busy.add(run.timeline().busy());
-        out.add(run.timeline().out());
+        outstanding.add(run.timeline().out());
         for (int i = 0; i < run.delays().size(); i++) {
             if (delays.size() <= i) {
                 delays.add(new Histogram(run.delays().get(i)));
--- a/src/main/java/wingspread/lab/scenario/Day.java
+++ b/src/main/java/wingspread/lab/scenario/Day.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * One draw from a scenario: what both variants of a replication meet. Times in microseconds; shares from 0 to 1.
+ * One realization of a scenario, the same for both variants of a replication. Times are in microseconds; shares are
+ * from 0 to 1.
  *
- * @param length how long callers call
- * @param recorded the calls, where they are recorded ones; null where they are drawn
- * @param tick softswitches act at multiples of this; 0 for at once
+ * @param length duration of the offered traffic
+ * @param tick softswitches run their turns at multiples of this; 0 for without delay
+ * @param recorded recorded calls to play; null if the calls are drawn
  */
 public record Day(long length, long tick, Fleet fleet, Load load, Net net, Work work, Cold cold, Callers callers,
         News news, Reports reports, Rules rules, Goal goal, List<ClassOfCall> classes, List<Trouble> troubles,
@@ -16,66 +17,105 @@
     /**
      * The exchanges and the circuits between them.
      *
-     * @param erlangs circuits that one exchange's calls keep busy at load 1
-     * @param spare circuits of a group beyond its planned load, in square roots of that
-     * @param pairSpread variation coefficient of the planned load from pair to pair
-     * @param missed variation coefficient of the traffic against the plan
-     * @param local traffic inside a region over that between regions
+     * @param erlangs traffic of one exchange at load 1, in erlangs (mean number of busy circuits)
+     * @param spare circuits of a group in excess of its planned load, in multiples of the square root of that load
+     * @param pairSpread coefficient of variation of the planned load across pairs of exchanges
+     * @param missed coefficient of variation of the actual traffic relative to the plan
+     * @param local ratio of the traffic within a region to that between regions
      */
     public record Fleet(int exchanges, List<String> regions, double erlangs, double spare, double pairSpread,
             double missed, double local) { }
 
     /**
-     * How much is called.
+     * The offered load.
      *
-     * @param swing the load's rise and fall over the run, as a share
-     * @param driftSpread variation coefficient of where calls go, drawn anew every {@code driftTime}
+     * @param level mean load; 1 is the planned load
+     * @param shape shape of the load over the run: {@code wave} or {@code ramp}
+     * @param swing amplitude of the load's variation over the run, as a share
+     * @param driftSpread coefficient of variation of the traffic by destination, redrawn every {@code driftTime}
+     * @param driftTime interval of redrawing; 0 for never
      */
     public record Load(double level, String shape, double swing, double driftSpread, long driftTime) { }
 
-    /** One-way delays; jitter is the most that is added, as a share. */
+    /**
+     * One-way network delays.
+     *
+     * @param jitter max additional delay, as a share
+     * @param groupReport changes of a trunk group within this time are reported together
+     */
     public record Net(long withinRegion, long betweenRegions, double jitter, long groupReport) { }
 
     /**
-     * What the processors do, in set-ups.
+     * Work of the exchanges' processors; costs are relative to that of a set-up.
      *
-     * @param use how busy a processor is at load 1 if all calls go direct
-     * @param refuseAfter the wait past which set-ups are refused
-     * @param cancelDrops a set-up that was given up is not worked on
+     * @param use processor utilization at load 1 if all calls take the direct route
+     * @param refuseAfter queueing time after which set-ups are refused
+     * @param answersFirst whether answers are processed before set-ups
+     * @param cancelDrops whether a cancelled set-up is dropped without being processed
      * @param faults share of set-ups that end in a signalling fault
      */
     public record Work(double use, double look, double refuse, double follow, long refuseAfter,
             boolean answersFirst, boolean cancelDrops, double faults) { }
 
-    /** A start: its first share of the capacity, and the time until it has all. */
+    /**
+     * A cold start.
+     *
+     * @param from initial share of the capacity
+     * @param time duration until the full capacity is available
+     */
     public record Cold(double from, long time) { }
 
     /**
-     * What callers do.
+     * Behaviour of callers.
      *
-     * @param redials tries after the first; a fraction is the share of callers that try once more
-     * @param patience how long a try waits, as a share of the class's deadline
-     * @param honour share that keeps to a wait it is told
-     * @param impatient share that gives a try up before its time
-     * @param again share of cut calls that come again
+     * @param redials max redials after the fresh call; the fraction is the share of callers that redial once more
+     * @param patience how long a caller waits for an answer, as a share of the class's deadline
+     * @param backoff delay before a redial
+     * @param doubling whether the delay doubles with each redial
+     * @param honour share of callers that observe an advised wait
+     * @param marked whether redials are marked as such
+     * @param impatient share of offers that the caller abandons early
+     * @param again share of cut calls that are offered again
+     * @param mostWait max advised wait that callers observe; a longer one is shortened to this
      */
     public record Callers(double redials, double patience, long backoff, boolean doubling, double honour,
             boolean marked, double impatient, double again, long mostWait) { }
 
-    /** How late the directory tells of a start, of an end or a drain; and how unevenly. */
+    /**
+     * Delays of notifications from the directory.
+     *
+     * @param start delay of the notification of a start
+     * @param end delay of the notification of an end or a drain
+     * @param spread max additional random delay for each softswitch
+     */
     public record News(long start, long end, long spread) { }
 
-    /** Load reports in answers: how often they are renewed, how late they are, how far they may be off. */
+    /**
+     * Load reports in answers.
+     *
+     * @param period interval at which reports are renewed
+     * @param delay delay of the reported values
+     * @param noise relative error of the reported values
+     */
     public record Reports(long period, long delay, double noise) { }
 
-    /** The figures of the platform's rules. */
+    /** Parameters of the platform's rules. */
     public record Rules(long answerGrace, long drainGrace, int maxAttempts, long release, double fallMultiple,
             long fall, double coldShare, long cold) { }
 
-    /** Weights of the result and its deductions. */
+    /** Weights of the components of the result and of its deductions. */
     public record Goal(double whole, double worstWindow, double worstClass, double lateFail, double waste) { }
 
-    /** A class of call; its share of calls is told as a part of all parts. */
+    /**
+     * A class of calls.
+     *
+     * @param part weight of the class; its share of the calls is this divided by the sum over all classes
+     * @param aim set-up time within which a call has its full value
+     * @param worth value of a call established within {@code aim}
+     * @param lateWorth share of the value left for a call established later
+     * @param width number of circuits that a call occupies
+     * @param holding mean holding time
+     */
     public record ClassOfCall(String name, double part, long aim, long deadline, double worth, double lateWorth,
             int width, long holding) { }
 }
--- a/src/main/java/wingspread/lab/scenario/RecordedTraffic.java
+++ b/src/main/java/wingspread/lab/scenario/RecordedTraffic.java
@@ -10,12 +10,20 @@
 import wingspread.toml.TomlException;
 
 /**
- * First tries of recordings, one recording for each softswitch, as one stream of calls in the order of their times.
- * What callers did after a refusal was that softswitch's doing: redials, calls in transit and calls that came again
- * are left out, for the model's callers do so themselves.
+ * The fresh calls of a set of recordings, one recording per softswitch, merged into one stream in order of time.
+ * Redials, transit calls and repeats of cut calls are omitted: they were consequences of the recorded softswitches'
+ * decisions, and the model's callers produce their own.
  */
 public final class RecordedTraffic {
-    /** A call: microseconds from the first, place of origin, index of its class in the scenario. */
+    /**
+     * A fresh call.
+     *
+     * @param at time in microseconds since the start of the earliest recording
+     * @param origin index of the originating exchange
+     * @param callClass index of the class in the scenario
+     * @param destination index of the called exchange
+     * @param number the called number's keyed hash; 0 for none
+     */
     public record Call(long at, int origin, int callClass, int destination, long number) { }
 
     private final List<Call> calls;
@@ -25,9 +33,9 @@
     }
 
     /**
-     * Joins recordings.
+     * Merges recordings.
      *
-     * @throws TomlException where they do not fit the scenario: its exchanges or its classes
+     * @throws TomlException if the recordings do not match the scenario's exchanges or classes
      */
     static RecordedTraffic of(List<Recording> recordings, int exchanges, List<String> classNames) {
         Set<Integer> places = new HashSet<>();
@@ -36,7 +44,7 @@
         for (Recording recording : recordings) {
             if (recording.place() < 0 || recording.place() >= exchanges || !places.add(recording.place())) {
                 throw new TomlException("recorded: place " + recording.place()
-                        + " is named twice or beyond the scenario's " + exchanges + " exchanges");
+                        + " occurs twice or exceeds the scenario's " + exchanges + " exchanges");
             }
             int[] classes = recording.classes().stream().mapToInt(classNames::indexOf).toArray();
             for (RecordedCall call : recording.calls()) {
@@ -60,7 +68,7 @@
         return new RecordedTraffic(List.copyOf(all));
     }
 
-    /** All calls in order. */
+    /** Returns all calls in order of time. */
     public List<Call> calls() {
         return calls;
     }
--- a/src/main/java/wingspread/lab/scenario/Scenario.java
+++ b/src/main/java/wingspread/lab/scenario/Scenario.java
@@ -12,13 +12,13 @@
 import wingspread.toml.TomlException;
 import wingspread.toml.TomlFile;
 
-/** A scenario: the shipped usual one with what a file lays over it. Days are drawn from it. */
+/** A scenario: the shipped default scenario with overrides from a file. {@link Day}s are drawn from it. */
 public final class Scenario {
-    /** The scenarios that are shipped. */
+    /** Names of the shipped scenarios. */
     public static final List<String> SHIPPED = List.of("usual", "surge-slow-late", "regional-loss",
             "crash-and-return", "rolling-release", "event-day", "crowd-and-late", "overload", "surge-and-slow",
             "crowd-and-slow", "circuits-cut", "large", "vast");
-    private static final String FOLDER = "/wingspread/lab/scenarios/";
+    private static final String RESOURCE_FOLDER = "/wingspread/lab/scenarios/";
     private static final String SCHEMA = "/wingspread/lab/scenario.schema.json";
 
     private final String name;
@@ -32,13 +32,13 @@
     }
 
     /**
-     * A shipped scenario by its name, else one from a file.
+     * Returns the shipped scenario of this name, or else reads the file of this name.
      *
-     * @throws TomlException where there is neither, or it cannot be taken
+     * @throws TomlException if neither exists or the scenario is invalid
      */
     public static Scenario named(String name) {
         if (SHIPPED.contains(name)) {
-            return of(name, TomlFile.resource(FOLDER + name + ".toml", SCHEMA));
+            return of(name, TomlFile.resource(RESOURCE_FOLDER + name + ".toml", SCHEMA));
         }
         if (!Files.exists(Path.of(name))) {
             throw new TomlException(name + ": neither a file nor one of " + String.join(", ", SHIPPED));
@@ -46,35 +46,35 @@
         return of(name, TomlFile.read(Path.of(name), SCHEMA));
     }
 
-    /** A scenario from text, under a name for its errors. */
+    /** Parses a scenario; {@code name} identifies it in error messages. */
     public static Scenario parse(String text, String name) {
         return of(name, TomlFile.parse(text, name, SCHEMA));
     }
 
     private static Scenario of(String name, ObjectNode top) {
         Scenario scenario = new Scenario(name,
-                TomlFile.over(TomlFile.resource(FOLDER + "usual.toml", SCHEMA), top), null);
-        scenario.check();
+                TomlFile.over(TomlFile.resource(RESOURCE_FOLDER + "usual.toml", SCHEMA), top), null);
+        scenario.validate();
         return scenario;
     }
 
-    /** The text of a shipped scenario. */
+    /** Returns the text of a shipped scenario. */
     public static String shippedText(String name) {
-        return TomlFile.text(FOLDER + name + ".toml");
+        return TomlFile.text(RESOURCE_FOLDER + name + ".toml");
     }
 
-    /** This scenario with more laid over it; what is laid over is checked like a file. */
+    /** Returns this scenario with further overrides, which are validated like a file. */
     public Scenario with(String toml) {
-        Scenario scenario = new Scenario(name, TomlFile.over(tree, TomlFile.parse(toml, name + " and more", SCHEMA)),
-                recorded);
-        scenario.check();
+        Scenario scenario = new Scenario(name, TomlFile.over(tree, TomlFile.parse(toml, name + " with overrides",
+                SCHEMA)), recorded);
+        scenario.validate();
         return scenario;
     }
 
     /**
-     * This scenario with the first tries of recordings in place of drawn ones. Lengths of calls are drawn still.
+     * Returns this scenario with the fresh calls of recordings in place of drawn ones. Holding times are still drawn.
      *
-     * @throws TomlException where the recordings do not fit its exchanges and classes
+     * @throws TomlException if the recordings do not match this scenario's exchanges and classes
      */
     public Scenario with(List<Recording> recordings) {
         Day day = day(new Streams(0, 0));
@@ -82,8 +82,8 @@
                 day.classes().stream().map(ClassOfCall::name).toList()));
     }
 
-    /** What a schema cannot say: places that exist, ranges in order, times in one unit. */
-    private void check() {
+    /** Checks what the schema cannot express: existing regions, order of ranges, and a single unit per range. */
+    private void validate() {
         try {
             Day day = day(new Streams(0, 0));
             if (day.classes().stream().mapToDouble(ClassOfCall::part).sum() == 0) {
@@ -104,99 +104,103 @@
         return name;
     }
 
-    /** One line that says what it is for. */
+    /** Returns a description in one line. */
     public String about() {
         return tree.get("about").textValue();
     }
 
-    /** Draws the day of one replication. */
+    /** Draws the day of one replication from its random streams. */
     public Day day(Streams streams) {
-        Draws d = new Draws(tree, "", streams);
-        return new Day(d.time("length"), d.time("tick"), fleet(d.table("fleet")), load(d.table("load")),
-                net(d.table("net")), work(d.table("work")),
-                new Day.Cold(d.table("cold").number("from"), d.table("cold").time("time")),
-                callers(d.table("callers")), news(d.table("news")),
-                new Day.Reports(d.table("reports").time("period"), d.table("reports").time("delay"),
-                        d.table("reports").number("noise")),
-                rules(d.table("rules")), goal(d.table("goal")), classes(streams), troubles(streams),
-                recorded);
+        ScenarioReader reader = new ScenarioReader(tree, "", streams);
+        return new Day(reader.time("length"), reader.time("tick"), fleet(reader.table("fleet")),
+                load(reader.table("load")), net(reader.table("net")), work(reader.table("work")),
+                new Day.Cold(reader.table("cold").number("from"), reader.table("cold").time("time")),
+                callers(reader.table("callers")), news(reader.table("news")),
+                new Day.Reports(reader.table("reports").time("period"), reader.table("reports").time("delay"),
+                reader.table("reports").number("noise")), rules(reader.table("rules")), goal(reader.table("goal")),
+                classes(streams), troubles(streams), recorded);
     }
 
-    private static Day.Fleet fleet(Draws d) {
-        return new Day.Fleet(d.whole("exchanges"), d.texts("regions"), d.number("erlangs"), d.number("spare"),
-                d.number("pair-spread"), d.number("missed"), d.number("local"));
+    private static Day.Fleet fleet(ScenarioReader reader) {
+        return new Day.Fleet(reader.integer("exchanges"), reader.stringList("regions"), reader.number("erlangs"),
+                reader.number("spare"), reader.number("pair-spread"), reader.number("missed"), reader.number("local"));
     }
 
-    private static Day.Load load(Draws d) {
-        return new Day.Load(d.number("level"), d.text("shape"), d.number("swing"), d.number("drift-spread"),
-                d.time("drift-time"));
+    private static Day.Load load(ScenarioReader reader) {
+        return new Day.Load(reader.number("level"), reader.string("shape"), reader.number("swing"),
+                reader.number("drift-spread"), reader.time("drift-time"));
     }
 
-    private static Day.Net net(Draws d) {
-        return new Day.Net(d.time("within-region"), d.time("between-regions"), d.number("jitter"),
-                d.time("group-report"));
+    private static Day.Net net(ScenarioReader reader) {
+        return new Day.Net(reader.time("within-region"), reader.time("between-regions"), reader.number("jitter"),
+                reader.time("group-report"));
     }
 
-    private static Day.Work work(Draws d) {
-        return new Day.Work(d.number("use"), d.number("look"), d.number("refuse"), d.number("follow"),
-                d.time("refuse-after"), d.flag("answers-first"), d.flag("cancel-drops"), d.number("faults"));
+    private static Day.Work work(ScenarioReader reader) {
+        return new Day.Work(reader.number("use"), reader.number("look"), reader.number("refuse"),
+                reader.number("follow"), reader.time("refuse-after"), reader.bool("answers-first"),
+                reader.bool("cancel-drops"), reader.number("faults"));
     }
 
-    private static Day.Callers callers(Draws d) {
-        return new Day.Callers(d.number("redials"), d.number("patience"), d.time("backoff"), d.flag("doubling"),
-                d.number("honour"), d.flag("marked"), d.number("impatient"), d.number("again"), d.time("most-wait"));
+    private static Day.Callers callers(ScenarioReader reader) {
+        return new Day.Callers(reader.number("redials"), reader.number("patience"), reader.time("backoff"),
+                reader.bool("doubling"), reader.number("honour"), reader.bool("marked"), reader.number("impatient"),
+                reader.number("again"), reader.time("most-wait"));
     }
 
-    private static Day.News news(Draws d) {
-        return new Day.News(d.time("start"), d.time("end"), d.time("spread"));
+    private static Day.News news(ScenarioReader reader) {
+        return new Day.News(reader.time("start"), reader.time("end"), reader.time("spread"));
     }
 
-    private static Day.Rules rules(Draws d) {
-        return new Day.Rules(d.time("answer-grace"), d.time("drain-grace"), d.whole("max-attempts"),
-                d.time("release"), d.number("fall-multiple"), d.time("fall"), d.number("cold-share"), d.time("cold"));
+    private static Day.Rules rules(ScenarioReader reader) {
+        return new Day.Rules(reader.time("answer-grace"), reader.time("drain-grace"), reader.integer("max-attempts"),
+                reader.time("release"), reader.number("fall-multiple"), reader.time("fall"),
+                reader.number("cold-share"), reader.time("cold"));
     }
 
-    private static Day.Goal goal(Draws d) {
-        return new Day.Goal(d.number("whole"), d.number("worst-window"), d.number("worst-class"),
-                d.number("late-fail"), d.number("waste"));
+    private static Day.Goal goal(ScenarioReader reader) {
+        return new Day.Goal(reader.number("whole"), reader.number("worst-window"), reader.number("worst-class"),
+                reader.number("late-fail"), reader.number("waste"));
     }
 
-    private List<Draws> each(String list, Streams streams) {
+    private List<ScenarioReader> readersOf(String list, Streams streams) {
         JsonNode nodes = tree.path(list);
-        List<Draws> out = new ArrayList<>();
+        List<ScenarioReader> out = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
-            out.add(new Draws(nodes.get(i), list + "." + i + ".", streams));
+            out.add(new ScenarioReader(nodes.get(i), list + "." + i + ".", streams));
         }
         return out;
     }
 
     private List<ClassOfCall> classes(Streams streams) {
-        return each("class", streams).stream().map(d -> new ClassOfCall(d.text("name"), d.number("part"),
-                d.time("aim"), d.time("deadline"), d.number("worth"), d.number("late-worth"), d.whole("width"),
-                d.time("holding"))).toList();
+        return readersOf("class", streams).stream().map(reader -> new ClassOfCall(reader.string("name"),
+                reader.number("part"), reader.time("aim"), reader.time("deadline"), reader.number("worth"),
+                reader.number("late-worth"), reader.integer("width"), reader.time("holding"))).toList();
     }
 
     private List<Trouble> troubles(Streams streams) {
-        return each("trouble", streams).stream().map(Scenario::trouble).toList();
+        return readersOf("trouble", streams).stream().map(Scenario::trouble).toList();
     }
 
-    private static Trouble trouble(Draws d) {
-        long at = d.time("at");
-        long until = at + d.time("for");
-        return switch (d.text("kind")) {
-            case "surge" -> new Trouble.Surge(at, until, d.number("factor"),
-                    Math.min(d.time("rise"), (until - at) / 2));
-            case "hot-caller" -> new Trouble.HotCaller(at, until, d.whole("exchanges"), d.number("share"));
-            case "hot-number" -> new Trouble.HotNumber(at, until, d.number("share"), d.whole("lines"));
+    private static Trouble trouble(ScenarioReader reader) {
+        long at = reader.time("at");
+        long until = at + reader.time("for");
+        return switch (reader.string("kind")) {
+            case "surge" -> new Trouble.Surge(at, until, reader.number("factor"),
+                    Math.min(reader.time("rise"), (until - at) / 2));
+            case "hot-caller" -> new Trouble.HotCaller(at, until, reader.integer("exchanges"), reader.number("share"));
+            case "hot-number" -> new Trouble.HotNumber(at, until, reader.number("share"), reader.integer("lines"));
             case "circuit-loss" -> new Trouble.CircuitLoss(at, until,
-                    d.has("region") ? d.whole("region") : Trouble.CircuitLoss.EVERYWHERE, d.number("keep"));
-            case "slow-processors" -> new Trouble.SlowProcessors(at, until, d.number("share"), d.number("factor"));
-            case "late-reports" -> new Trouble.LateReports(at, until, d.time("delay"));
-            case "crash" -> new Trouble.Crash(at, until, d.whole("exchanges"));
-            case "silence" -> new Trouble.Silence(at, until, d.whole("exchanges"));
-            case "replace" -> new Trouble.Replace(at, until, d.whole("exchanges"));
-            case "drain" -> new Trouble.Drain(at, until, d.whole("exchanges"));
-            default -> throw new TomlException("trouble.kind: unknown '" + d.text("kind") + "'");
+                    reader.has("region") ? reader.integer("region") : Trouble.CircuitLoss.EVERYWHERE,
+                    reader.number("keep"));
+            case "slow-processors" -> new Trouble.SlowProcessors(at, until, reader.number("share"),
+                    reader.number("factor"));
+            case "late-reports" -> new Trouble.LateReports(at, until, reader.time("delay"));
+            case "crash" -> new Trouble.Crash(at, until, reader.integer("exchanges"));
+            case "silence" -> new Trouble.Silence(at, until, reader.integer("exchanges"));
+            case "replace" -> new Trouble.Replace(at, until, reader.integer("exchanges"));
+            case "drain" -> new Trouble.Drain(at, until, reader.integer("exchanges"));
+            default -> throw new TomlException("trouble.kind: unknown '" + reader.string("kind") + "'");
         };
     }
 }
--- a/src/main/java/wingspread/lab/scenario/Draws.java
+++ b/src/main/java/wingspread/lab/scenario/ScenarioReader.java
@@ -7,32 +7,32 @@
 import wingspread.toml.Duration;
 import wingspread.toml.TomlException;
 
-/** Values of a scenario; what is a range there is drawn, each path from a stream of its own. */
-final class Draws {
+/** Reads values of a scenario. A value given as a range is drawn from it, with a separate random stream per path. */
+final class ScenarioReader {
     private final JsonNode tree;
     private final String path;
     private final Streams streams;
 
-    Draws(JsonNode tree, String path, Streams streams) {
+    ScenarioReader(JsonNode tree, String path, Streams streams) {
         this.tree = tree;
         this.path = path;
         this.streams = streams;
     }
 
-    Draws table(String name) {
-        return new Draws(tree.get(name), path + name + ".", streams);
+    ScenarioReader table(String name) {
+        return new ScenarioReader(tree.get(name), path + name + ".", streams);
     }
 
-    private double between(String name, double low, double high) {
+    private double drawBetween(String name, double low, double high) {
         if (low > high) {
-            throw new TomlException(path + name + ": the range runs from high to low");
+            throw new TomlException(path + name + ": the range goes from high to low");
         }
         return low + (high - low) * streams.stream("draw " + path + name).nextDouble();
     }
 
     double number(String name) {
         JsonNode node = tree.get(name);
-        return node.isArray() ? between(name, node.get(0).doubleValue(), node.get(1).doubleValue())
+        return node.isArray() ? drawBetween(name, node.get(0).doubleValue(), node.get(1).doubleValue())
                 : node.doubleValue();
     }
 
@@ -40,25 +40,25 @@
         return tree.has(name);
     }
 
-    int whole(String name) {
+    int integer(String name) {
         return tree.get(name).intValue();
     }
 
-    boolean flag(String name) {
+    boolean bool(String name) {
         return tree.get(name).booleanValue();
     }
 
-    String text(String name) {
+    String string(String name) {
         return tree.get(name).textValue();
     }
 
-    List<String> texts(String name) {
+    List<String> stringList(String name) {
         List<String> out = new ArrayList<>();
         tree.get(name).forEach(node -> out.add(node.textValue()));
         return List.copyOf(out);
     }
 
-    /** A time in microseconds. */
+    /** Returns a time in microseconds. */
     long time(String name) {
         JsonNode node = tree.get(name);
         if (!node.isArray()) {
@@ -67,9 +67,9 @@
         Duration low = Duration.parse(node.get(0).textValue());
         Duration high = Duration.parse(node.get(1).textValue());
         if (!low.unit().equals(high.unit())) {
-            throw new TomlException(path + name + ": a range in two units, '" + low.unit() + "' and '" + high.unit()
+            throw new TomlException(path + name + ": range with two units, '" + low.unit() + "' and '" + high.unit()
                     + "'; one was expected");
         }
-        return Math.round(between(name, low.micros(), high.micros()));
+        return Math.round(drawBetween(name, low.micros(), high.micros()));
     }
 }
--- a/src/main/java/wingspread/record/RecordedCall.java
+++ b/src/main/java/wingspread/record/RecordedCall.java
@@ -9,7 +9,7 @@
  * @param width number of circuits that the call occupies
  * @param left how long the caller waits, in microseconds
  * @param redial whether the offer is marked as a redial
- * @param transit whether this exchange is the tandem of the call
+ * @param transit whether the call is in transit, received from another exchange
  * @param cut whether the call repeats one that was cut
  * @param number the called number's keyed hash; 0 for none
  */
--- a/src/test/java/wingspread/lab/compare/CompareTest.java
+++ b/src/test/java/wingspread/lab/compare/CompareTest.java
@@ -20,7 +20,7 @@
 import wingspread.lab.scenario.Scenario;
 import wingspread.toml.TomlException;
 
-/** Intervals, stopping, and verdicts on pairs whose difference is known. */
+/** Confidence intervals, the stopping rule, and verdicts on pairs of variants whose difference is known. */
 class CompareTest {
     private static Variant planner(String setting, int family) {
         return new Variant(setting,
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void anIntervalIsTheOneInTheBooks() {
-        // Four values of mean 2.5 and deviation 1.291; Student's t for 3 degrees of freedom is 3.182.
+    void computesStudentInterval() {
+        // Mean 2.5, standard deviation 1.291; the 97.5% quantile of Student's t with 3 degrees of freedom is 3.182.
         Interval interval = Interval.of(new double[] {1, 2, 3, 4}, 0.95);
         assertEquals(2.5, interval.mean(), 1e-9);
         assertEquals(3.182 * 1.291 / 2, interval.half(), 1e-3);
@@ -44,10 +44,10 @@
     }
 
     @Property(tries = 500, seed = "41")
-    void samplingEndsWithinItsBudgetAndSaysWhetherItWasEnough(@ForAll @IntRange(min = 2, max = 50) int pilot,
-            @ForAll @IntRange(max = 500) int more, @ForAll @DoubleRange(min = 0.01, max = 1) double asked,
+    void samplingStopsWithinBudgetAndReportsWhetherIntervalIsNarrow(@ForAll @IntRange(min = 2, max = 50) int pilot,
+            @ForAll @IntRange(max = 500) int more, @ForAll @DoubleRange(min = 0.01, max = 1) double requestedHalfWidth,
             @ForAll @DoubleRange(max = 3) double deviation) {
-        Sampling sampling = new Sampling(pilot, pilot + more, asked);
+        Sampling sampling = new Sampling(pilot, pilot + more, requestedHalfWidth);
         Sampling.Step step = sampling.first();
         int n = 0;
         int stages = 0;
@@ -59,42 +59,42 @@
             step = sampling.next(++stages, new Interval(0, half, deviation, n));
         }
         assertTrue(n <= pilot + more);
-        assertEquals(half <= asked, ((Sampling.Stop) step).narrow());
-        assertTrue(half <= asked || n == pilot + more);
+        assertEquals(half <= requestedHalfWidth, ((Sampling.Stop) step).narrow());
+        assertTrue(half <= requestedHalfWidth || n == pilot + more);
     }
 
     @Property(tries = 100, seed = "42")
-    void howMuchIsPlayedHangsOnTheSpreadAlone(@ForAll @DoubleRange(min = -9, max = 9) double mean,
+    void sampleSizeDependsOnDeviationOnly(@ForAll @DoubleRange(min = -9, max = 9) double mean,
             @ForAll @DoubleRange(max = 0.1) double half) {
         Sampling sampling = new Sampling(8, 100, 0.01);
         assertEquals(sampling.next(2, new Interval(0, half, 1, 20)), sampling.next(2, new Interval(mean, half, 1, 20)));
     }
 
     @Test
-    void oneStageIsNeverEnough() {
+    void samplingNeverStopsAfterOneStage() {
         assertTrue(new Sampling(8, 100, 1).next(1, new Interval(0, 0.1, 1, 8)) instanceof Sampling.Play);
     }
 
     @Test
-    void aVariantAgainstItselfDiffersByNothing() {
+    void findsNoDifferenceOfVariantToItself() {
         Comparison found = compare(planner("usual", 0), planner("usual", 0), 24, 0.01);
         assertEquals(0, found.service().mean());
         assertEquals(Verdict.NO_DIFFERENCE, found.verdict());
     }
 
     @Test
-    void aSettingThatCostsServiceIsWorseAndTheOtherWayRoundBetter() {
-        Variant hardlyAny = planner("own-window-start=1,window-max=2,window-gain=0", 0);
-        Comparison worse = compare(planner("usual", 0), hardlyAny, 24, 0.01);
+    void ranksVariantWithLowerServiceInBothOrders() {
+        Variant smallWindow = planner("own-window-start=1,window-max=2,window-gain=0", 0);
+        Comparison worse = compare(planner("usual", 0), smallWindow, 24, 0.01);
         assertEquals(Verdict.WORSE, worse.verdict());
         assertTrue(worse.sentence().startsWith("B gives worse service"), worse.sentence());
-        Comparison better = compare(hardlyAny, planner("usual", 0), 24, 0.01);
+        Comparison better = compare(smallWindow, planner("usual", 0), 24, 0.01);
         assertEquals(Verdict.BETTER, better.verdict());
         assertEquals(-worse.service().mean(), better.service().mean(), 1e-12);
     }
 
     @Test
-    void aClassThatHardlyAnybodyCallsSpoilsNoFigure() {
+    void classWithoutCallsOnSomeDaysKeepsResultsFinite() {
         Scenario scenario = Scenario.named("usual").with("""
                 length = "10s"
                 [[class]]
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void aBudgetTooSmallIsSaid() {
+    void reportsUndecidedWhenBudgetIsTooSmall() {
         Comparison found = compare(planner("usual", 0), planner("usual", 1), 8, 1e-6);
         assertEquals(Verdict.UNDECIDED, found.verdict());
         assertEquals(8, found.service().n());
@@ -138,13 +138,13 @@
     @CsvSource(delimiter = '|', value = {
         "window-begin=3 | no figure 'window-begin'", "window-start=-3 | window-start=-3",
         "silent-gap=500 | a time with its unit", "window-start=3s | a number", "missing.toml | cannot be read"})
-    void aSettingThatCannotBeTakenIsNamed(String setting, String why) {
+    void rejectsInvalidSettingWithReason(String setting, String reason) {
         String message = assertThrows(TomlException.class, () -> Setting.named(setting)).getMessage();
-        assertTrue(message.contains(why) && message.indexOf('\n') < 0, message);
+        assertTrue(message.contains(reason) && message.indexOf('\n') < 0, message);
     }
 
     @Test
-    void timesInASettingAreMicrosecondsInTheFigures() {
+    void convertsTimesToMicroseconds() {
         ControlParameters figures = Setting.named("silent-gap=250ms,silent-gap-max=3s,tandems=1").figures();
         assertEquals(250_000, value(figures, "silent-gap"));
         assertEquals(3_000_000, value(figures, "silent-gap-max"));
@@ -156,8 +156,8 @@
     }
 
     @Test
-    void calibrationGivesTheExactInterval() {
-        // Clopper and Pearson for 10 of 200.
+    void calibrationComputesClopperPearsonInterval() {
+        // Clopper-Pearson interval for 10 of 200.
         Calibration found = Calibration.of(200, 10, 24);
         assertEquals(0.0242, found.low(), 1e-4);
         assertEquals(0.0900, found.high(), 1e-4);
--- a/src/test/java/wingspread/lab/scenario/ScenarioTest.java
+++ b/src/test/java/wingspread/lab/scenario/ScenarioTest.java
@@ -17,9 +17,9 @@
 import wingspread.testing.Fuzz;
 import wingspread.toml.TomlException;
 
-/** A scenario is taken whole, or turned away in one line that names the place and what was expected. */
+/** Scenarios are parsed, or rejected with a one-line message that names the key and the reason. */
 class ScenarioTest {
-    private static String turnedAway(String toml) {
+    private static String rejectionOf(String toml) {
         String message = assertThrows(TomlException.class, () -> Scenario.parse(toml, "x.toml")).getMessage();
         assertTrue(message.startsWith("x.toml"), message);
         assertTrue(message.indexOf('\n') < 0, message);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void allShippedScenariosCanBeTaken() {
+    void shippedScenariosAreValid() {
         for (String name : Scenario.SHIPPED) {
             assertTrue(!Scenario.named(name).about().isEmpty(), name);
         }
@@ -49,22 +49,23 @@
         "length = '0s' | length | pattern",
         "reports.period = '0.0ms' | reports.period | pattern",
         "length = | x.toml:1 | ' '"})
-    void whatCannotBeTakenIsNamed(String toml, String place, String why) {
-        String message = turnedAway(toml);
+    void rejectsInvalidValueWithKeyAndReason(String toml, String place, String reason) {
+        String message = rejectionOf(toml);
         assertTrue(message.contains(place), message);
-        assertTrue(message.contains(why), message);
+        assertTrue(message.contains(reason), message);
     }
 
     @Test
-    void classesThatNobodyCallsAreTurnedAway() {
-        String nobody = "[[class]]\nname = 'x'\npart = 0\naim = '1s'\ndeadline = '9s'\nworth = 1\nlate-worth = 0\n"
+    void rejectsClassesWithoutCalls() {
+        String classWithoutCalls =
+                "[[class]]\nname = 'x'\npart = 0\naim = '1s'\ndeadline = '9s'\nworth = 1\nlate-worth = 0\n"
                 + "width = 1\nholding = '1s'\n";
-        assertTrue(turnedAway(nobody).contains("class.part"));
-        assertTrue(turnedAway(nobody.replace("'1s'\n", "'0s'\n")).contains("pattern"));
+        assertTrue(rejectionOf(classWithoutCalls).contains("class.part"));
+        assertTrue(rejectionOf(classWithoutCalls.replace("'1s'\n", "'0s'\n")).contains("pattern"));
     }
 
     @Test
-    void aRangeIsDrawnAnewForEachReplicationAndAValueIsNot() {
+    void drawsRangePerReplicationAndKeepsFixedValue() {
         Scenario scenario = Scenario.parse("load.level = [0.5, 1.5]\nnet.jitter = 0.25", "x.toml");
         Day one = scenario.day(new Streams(1, 0));
         Day other = scenario.day(new Streams(1, 1));
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void anotherSettingLeavesTheOtherDrawsAsTheyWere() {
+    void overrideDoesNotChangeOtherDraws() {
         Day one = Scenario.named("usual").day(new Streams(1, 0));
         Day other = Scenario.named("usual").with("callers.redials = 1").day(new Streams(1, 0));
         assertEquals(one.load(), other.load());
@@ -82,7 +83,7 @@
     }
 
     @Test
-    void aFileIsReadAndOneThatIsMissingIsNamed(@TempDir Path folder) throws Exception {
+    void readsFileAndReportsMissingOne(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("mine.toml");
         Files.writeString(file, "fleet.exchanges = 3");
         assertEquals(3, Scenario.named(file.toString()).day(new Streams(1, 0)).fleet().exchanges());
@@ -91,12 +92,12 @@
     }
 
     @Property(tries = 300, seed = "32")
-    void spoiltFilesAreTakenOrTurnedAway(@ForAll long seed) {
+    void parsesCorruptFileOrRejectsItInOneLine(@ForAll long seed) {
         byte[] valid = "load.level = 1.1\n[[trouble]]\nkind = 'crash'\nat = '1s'\nfor = '2s'\nexchanges = 1\n"
                 .getBytes(StandardCharsets.ISO_8859_1);
-        String spoilt = new String(Fuzz.spoil(valid, seed), StandardCharsets.ISO_8859_1);
+        String corrupt = new String(Fuzz.spoil(valid, seed), StandardCharsets.ISO_8859_1);
         try {
-            Scenario.parse(spoilt, "x.toml");
+            Scenario.parse(corrupt, "x.toml");
         } catch (TomlException e) {
             assertTrue(e.getMessage().startsWith("x.toml") && e.getMessage().indexOf('\n') < 0, e.getMessage());
         }
