--- a/src/main/java/wingspread/lab/compare/Sampling.java
+++ b/src/main/java/wingspread/lab/compare/Sampling.java
@@ -9,9 +9,9 @@
  *
  * @param pilot pairs in the first stage, at least 2
  * @param budget max number of pairs, at least {@code pilot}
- * @param asked requested half-width of the interval, above 0
+ * @param requestedHalfWidth requested half-width of the interval, above 0
  */
-public record Sampling(int pilot, int budget, double asked) {
+public record Sampling(int pilot, int budget, double requestedHalfWidth) {
     /** Share of the required number of pairs that is reached in the second stage. */
     private static final double SECOND_STAGE = 0.5;
     /** Min growth of a further stage; it limits the number of interim looks, each of which could stop by chance. */
@@ -28,8 +28,8 @@
 
     /** Validates the numbers. */
     public Sampling {
-        if (pilot < 2 || budget < pilot || !(asked > 0)) {
-            throw new IllegalArgumentException("pilot " + pilot + ", budget " + budget + ", width " + asked
+        if (pilot < 2 || budget < pilot || !(requestedHalfWidth > 0)) {
+            throw new IllegalArgumentException("pilot " + pilot + ", budget " + budget + ", width " + requestedHalfWidth
                     + ": expected a pilot of at least 2, a budget not below the pilot and a width above 0");
         }
     }
@@ -41,13 +41,13 @@
 
     /** Returns the step after {@code stages} stages, given the interval of all pairs so far. */
     public Step next(int stages, Interval current) {
-        if (current.half() <= asked && stages > 1) {
+        if (current.half() <= requestedHalfWidth && stages > 1) {
             return new Stop(true);
         }
         if (current.n() >= budget) {
-            return new Stop(current.half() <= asked);
+            return new Stop(current.half() <= requestedHalfWidth);
         }
-        double required = current.n() * Math.pow(current.half() / asked, 2);
+        double required = current.n() * Math.pow(current.half() / requestedHalfWidth, 2);
         double target = stages == 1 ? Math.max(SECOND_STAGE * required, 1.5 * current.n()) : required;
         int more = (int) Math.ceil(Math.min(target, budget)) - current.n();
         int minMore = Math.max(1, (int) Math.ceil(MIN_GROWTH * current.n()));
--- a/src/main/java/wingspread/lab/scenario/Day.java
+++ b/src/main/java/wingspread/lab/scenario/Day.java
@@ -49,6 +49,9 @@
      * Work of the exchanges' processors; costs are relative to that of a set-up.
      *
      * @param use processor utilization at load 1 if all calls take the direct route
+     * @param look cost of processing a call at the exchange from which a set-up is sent on
+     * @param refuse cost of refusing a set-up
+     * @param follow cost of processing an answer or a release
      * @param refuseAfter queueing time after which set-ups are refused
      * @param answersFirst whether answers are processed before set-ups
      * @param cancelDrops whether a cancelled set-up is dropped without being processed
@@ -99,11 +102,30 @@
      */
     public record Reports(long period, long delay, double noise) { }
 
-    /** Parameters of the platform's rules. */
+    /**
+     * Limits set by the platform's rules.
+     *
+     * @param answerGrace time after the deadline within which a call must still be answered
+     * @param drainGrace time after the notification of a drain until which set-ups may still be sent
+     * @param maxAttempts max number of attempts per call
+     * @param release wait after a time-out, reset or cancellation until the release of the attempt takes effect
+     * @param fallMultiple multiple of its capacity up to which a cold exchange bears load
+     * @param fall window over which that load is measured
+     * @param coldShare initial share of the capacity of a cold exchange
+     * @param cold duration after a start for which an exchange counts as cold
+     */
     public record Rules(long answerGrace, long drainGrace, int maxAttempts, long release, double fallMultiple,
             long fall, double coldShare, long cold) { }
 
-    /** Weights of the components of the result and of its deductions. */
+    /**
+     * Weights of the components of the result.
+     *
+     * @param whole weight of the service over the whole run
+     * @param worstWindow weight of the service in the worst time window
+     * @param worstClass weight of the service of the worst class
+     * @param lateFail deduction for calls that fail late
+     * @param waste deduction for wasted work of processors
+     */
     public record Goal(double whole, double worstWindow, double worstClass, double lateFail, double waste) { }
 
     /**
--- a/src/test/java/wingspread/lab/host/HostTest.java
+++ b/src/test/java/wingspread/lab/host/HostTest.java
@@ -30,7 +30,7 @@
 class HostTest {
     private static final int PIPE_BYTES = 1 << 20;
 
-    private static byte[] play(Softswitches softswitches) throws IOException {
+    private static byte[] runModel(Softswitches softswitches) throws IOException {
         Streams streams = new Streams(8, 0);
         Scenario scenario = Scenario.named("crash-and-return").with("length = '25s'");
         return new ObjectMapper().writeValueAsBytes(
@@ -78,8 +78,8 @@
     @Test
     void remoteSoftswitchesBehaveLikeLocalOnes() throws IOException {
         try (RemoteSoftswitches remote = connectOverPipes(ControlParameters.DEFAULTS)) {
-            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS))),
-                    play(remote));
+            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS))),
+                    runModel(remote));
         }
     }
 
@@ -87,7 +87,7 @@
     void sendsParametersToHost() throws IOException {
         ControlParameters smallWindow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
         try (RemoteSoftswitches remote = connectOverPipes(smallWindow)) {
-            assertArrayEquals(play(new LocalSoftswitches(PlannerController.with(smallWindow))), play(remote));
+            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(smallWindow))), runModel(remote));
         }
     }
 
