--- a/src/main/java/wingspread/record/NumberHash.java
+++ b/src/main/java/wingspread/record/NumberHash.java
@@ -23,7 +23,7 @@
             mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(key, ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(ALGORITHM + " is not available, although every JDK must provide it", e);
+            throw new IllegalStateException("missing MAC algorithm that every JDK provides: " + ALGORITHM, e);
         }
     }
 
