--- a/src/main/java/wingspread/lab/compare/Comparison.java
+++ b/src/main/java/wingspread/lab/compare/Comparison.java
@@ -35,15 +35,15 @@
 
     /** Returns the result as a sentence. */
     public String sentence() {
-        String figures = String.format(Locale.ROOT, "%+.4f, 95%% between %+.4f and %+.4f, from %d pairs of days",
+        String estimate = String.format(Locale.ROOT, "%+.4f, 95%% between %+.4f and %+.4f, from %d pairs of days",
                 service.mean(), service.low(), service.high(), service.n());
         return switch (verdict()) {
             case RULE_BROKEN -> "A rule was broken, so service does not count: " + breaches.get(0);
-            case BETTER -> "B gives better service than A: " + figures + ".";
-            case WORSE -> "B gives worse service than A: " + figures + ".";
-            case NO_DIFFERENCE -> "No difference found between A and B: " + figures + ".";
+            case BETTER -> "B gives better service than A: " + estimate + ".";
+            case WORSE -> "B gives worse service than A: " + estimate + ".";
+            case NO_DIFFERENCE -> "No difference found between A and B: " + estimate + ".";
             case UNDECIDED -> "Undecided: the budget was spent before the interval was as narrow as asked: "
-                    + figures + ".";
+                    + estimate + ".";
         };
     }
 }
--- a/src/main/java/wingspread/lab/compare/Outage.java
+++ b/src/main/java/wingspread/lab/compare/Outage.java
@@ -59,7 +59,8 @@
             resampled[i] = recoverySeconds(mean(baselineSample), mean(faultedSample));
         }
         Arrays.sort(resampled);
-        return new Back(recoverySeconds(mean(baseline), mean(faulted)), resampled[(int) (TAIL_PROBABILITY * RESAMPLES)],
+        return new Back(recoverySeconds(mean(baseline), mean(faulted)),
+                resampled[(int) (TAIL_PROBABILITY * RESAMPLES)],
                 resampled[(int) ((1 - TAIL_PROBABILITY) * RESAMPLES) - 1]);
     }
 
--- a/src/main/java/wingspread/lab/host/Happening.java
+++ b/src/main/java/wingspread/lab/host/Happening.java
@@ -39,7 +39,8 @@
     record Answered(long exchange, String call) implements Happening { }
 
     /** An exchange rejected a set-up. */
-    record Rejected(long exchange, String call, Status status, Cause cause, Report report) implements Happening { }
+    record Rejected(long exchange, String call, Status status, Cause cause, Report report)
+            implements Happening { }
 
     /** An exchange released an established call. */
     record Released(long exchange, String call, int cause, Report report) implements Happening { }
--- a/src/main/java/wingspread/lab/scenario/Day.java
+++ b/src/main/java/wingspread/lab/scenario/Day.java
@@ -11,8 +11,8 @@
  * @param recorded recorded calls to play; null if the calls are drawn
  */
 public record Day(long length, long tick, Fleet fleet, Load load, Net net, Work work, Cold cold, Callers callers,
-        News news, Reports reports, Rules rules, Goal goal, List<ClassOfCall> classes, List<Trouble> troubles,
-        RecordedTraffic recorded) {
+        News news, Reports reports, Rules rules, Goal goal, List<ClassOfCall> classes,
+        List<Trouble> troubles, RecordedTraffic recorded) {
 
     /**
      * The exchanges and the circuits between them.
--- a/src/main/java/wingspread/lab/scenario/Scenario.java
+++ b/src/main/java/wingspread/lab/scenario/Scenario.java
@@ -188,8 +188,10 @@
         return switch (reader.string("kind")) {
             case "surge" -> new Trouble.Surge(at, until, reader.number("factor"),
                     Math.min(reader.time("rise"), (until - at) / 2));
-            case "hot-caller" -> new Trouble.HotCaller(at, until, reader.integer("exchanges"), reader.number("share"));
-            case "hot-number" -> new Trouble.HotNumber(at, until, reader.number("share"), reader.integer("lines"));
+            case "hot-caller" -> new Trouble.HotCaller(at, until, reader.integer("exchanges"),
+                    reader.number("share"));
+            case "hot-number" -> new Trouble.HotNumber(at, until, reader.number("share"),
+                    reader.integer("lines"));
             case "circuit-loss" -> new Trouble.CircuitLoss(at, until,
                     reader.has("region") ? reader.integer("region") : Trouble.CircuitLoss.EVERYWHERE,
                     reader.number("keep"));
--- a/src/test/java/wingspread/lab/compare/OutageTest.java
+++ b/src/test/java/wingspread/lab/compare/OutageTest.java
@@ -38,7 +38,8 @@
 
     @Test
     void intervalContainsEstimateAndWidensWithNoise() {
-        Outage.Back back = new Outage(FAULT_END_SECOND, 100).back(days(40, 0, 20, 1), days(40, 64, 60, 2), 3);
+        Outage.Back back = new Outage(FAULT_END_SECOND, 100)
+                .back(days(40, 0, 20, 1), days(40, 64, 60, 2), 3);
         assertTrue(back.low() <= back.seconds() && back.seconds() <= back.high(), back.toString());
         assertTrue(back.high() > back.low(), back.toString());
     }
--- a/src/test/java/wingspread/lab/host/HostTest.java
+++ b/src/test/java/wingspread/lab/host/HostTest.java
@@ -38,10 +38,10 @@
     }
 
     private static HostLoop host() {
-        return new HostLoop("test", figures -> new LocalSoftswitches(PlannerController.with(figures)));
+        return new HostLoop("test", parameters -> new LocalSoftswitches(PlannerController.with(parameters)));
     }
 
-    private static RemoteSoftswitches connectOverPipes(ControlParameters figures) throws IOException {
+    private static RemoteSoftswitches connectOverPipes(ControlParameters parameters) throws IOException {
         PipedInputStream toHost = new PipedInputStream(PIPE_BYTES);
         PipedInputStream fromHost = new PipedInputStream(PIPE_BYTES);
         OutputStream driverOut = new PipedOutputStream(toHost);
@@ -56,7 +56,7 @@
         });
         thread.setDaemon(true);
         thread.start();
-        return new RemoteSoftswitches("pipes", figures, fromHost, driverOut, () -> {
+        return new RemoteSoftswitches("pipes", parameters, fromHost, driverOut, () -> {
             try {
                 driverOut.close();
             } catch (IOException e) {
@@ -87,7 +87,8 @@
     void sendsParametersToHost() throws IOException {
         ControlParameters smallWindow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
         try (RemoteSoftswitches remote = connectOverPipes(smallWindow)) {
-            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(smallWindow))), runModel(remote));
+            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(smallWindow))),
+                    runModel(remote));
         }
     }
 
@@ -172,7 +173,8 @@
     @Property(tries = 500, seed = "51")
     void malformedCommandsAreServedOrFailWithIoException(@ForAll long seed) throws IOException {
         byte[] valid = bytes(new Wire.Begin(0, Map.of(), List.of()),
-                new Wire.Turn(1, List.of(new Softswitches.Input(0, List.of(new Happening.CallerAbandoned("00"))))));
+                new Wire.Turn(1, List.of(
+                        new Softswitches.Input(0, List.of(new Happening.CallerAbandoned("00"))))));
         assertTrue(servesOrFailsWithMessage(Fuzz.spoil(valid, seed)));
     }
 
--- a/src/test/java/wingspread/record/RecordTest.java
+++ b/src/test/java/wingspread/record/RecordTest.java
@@ -136,7 +136,8 @@
         try (OutputStream zip = new GZIPOutputStream(out)) {
             TrafficFormat.mapper().writeValue(zip, new TrafficFormat.Header(TrafficFormat.NAME, 9, 0, 0, 2, CLASSES));
         }
-        String message = assertThrows(Recording.NoRecordingException.class, () -> read(out.toByteArray())).getMessage();
+        String message = assertThrows(Recording.NoRecordingException.class,
+                () -> read(out.toByteArray())).getMessage();
         assertEquals("x: recording has version 9; 1 was expected", message);
     }
 
