--- a/src/main/java/wingspread/record/OfferedCallQueue.java
+++ b/src/main/java/wingspread/record/OfferedCallQueue.java
@@ -23,7 +23,7 @@
     private final AtomicInteger size = new AtomicInteger();
     private final AtomicLong dropped = new AtomicLong();
 
-    /** Creates a queue with capacity for {@code most} calls, at least one. */
+    /** Creates a queue with capacity for {@code capacity} calls, at least one. */
     OfferedCallQueue(int capacity) {
         this.capacity = capacity;
     }
