--- a/src/main/java/wingspread/testbed/soak/FaultInjector.java
+++ b/src/main/java/wingspread/testbed/soak/FaultInjector.java
@@ -8,12 +8,13 @@
 import wingspread.testbed.soak.DirectoryStandIn.Mode;
 import wingspread.testbed.soak.Schedule.PlannedFault;
 
-/** Carries a schedule's faults out on the parts of a trial, each at its time. Confined to the loop. */
+/** Injects a schedule's faults into the parts of a trial, each at its time. Confined to the trial's loop. */
 final class FaultInjector {
-    private static final long BETWEEN_RELOADS = 150_000;
+    private static final long RELOAD_INTERVAL_MICROS = 150_000;
     private static final int RELOADS = 3;
-    private static final long BETWEEN_BAD_CALLERS = 100_000;
-    private static final int CROWD_STEP = 50;
+    private static final long BAD_CALLER_INTERVAL_MICROS = 100_000;
+    /** Connections that a flood opens at a time. */
+    private static final int CONNECTION_BATCH_SIZE = 50;
 
     private final Loop loop;
     private final TrialLog log;
@@ -30,26 +31,26 @@
         this.random = random;
     }
 
-    /** Plans all faults from now on. */
-    void plan(List<PlannedFault> faults) {
+    /** Schedules all faults, with their times counted from now. */
+    void schedule(List<PlannedFault> faults) {
         long start = loop.now();
-        faults.forEach(fault -> loop.at(start + fault.atMs() * 1_000L, () -> strike(fault)));
+        faults.forEach(fault -> loop.at(start + fault.atMs() * 1_000L, () -> inject(fault)));
     }
 
-    private void strike(PlannedFault fault) {
+    private void inject(PlannedFault fault) {
         log.add("fault", fault.toString());
         switch (fault.kind().target()) {
-            case SOFTSWITCH -> onSoftswitch(fault, softswitches.get(fault.target()));
-            case EXCHANGE -> onExchange(fault, exchanges.get(fault.target()));
-            default -> onDirectories(fault);
+            case SOFTSWITCH -> injectIntoSoftswitch(fault, softswitches.get(fault.target()));
+            case EXCHANGE -> injectIntoExchange(fault, exchanges.get(fault.target()));
+            default -> injectIntoDirectories(fault);
         }
     }
 
-    private void after(PlannedFault fault, Runnable end) {
+    private void scheduleEnd(PlannedFault fault, Runnable end) {
         loop.at(loop.now() + fault.forMs() * 1_000L, end);
     }
 
-    private void onDirectories(PlannedFault fault) {
+    private void injectIntoDirectories(PlannedFault fault) {
         Mode mode = switch (fault.kind()) {
             case DIRECTORY_SILENT -> Mode.SILENT;
             case DIRECTORY_LATE -> Mode.LATE;
@@ -60,25 +61,25 @@
             default -> Mode.ERROR;
         };
         softswitches.forEach(s -> s.directory().answers(mode, fault.size() * 1_000L));
-        after(fault, () -> softswitches.forEach(s -> s.directory().answers(Mode.GOOD, 0)));
+        scheduleEnd(fault, () -> softswitches.forEach(s -> s.directory().answers(Mode.GOOD, 0)));
     }
 
-    private void onSoftswitch(PlannedFault fault, SoftswitchHost softswitch) {
+    private void injectIntoSoftswitch(PlannedFault fault, SoftswitchHost softswitch) {
         switch (fault.kind()) {
             case RESTART -> softswitch.restart();
             case KILL -> softswitch.kill();
             case RELOAD -> {
                 for (int i = 0; i < RELOADS; i++) {
-                    loop.at(loop.now() + i * BETWEEN_RELOADS, softswitch::reload);
+                    loop.at(loop.now() + i * RELOAD_INTERVAL_MICROS, softswitch::reload);
                 }
             }
             case GARBAGE -> {
-                for (long at = 0; at < fault.forMs() * 1_000L; at += BETWEEN_BAD_CALLERS) {
+                for (long at = 0; at < fault.forMs() * 1_000L; at += BAD_CALLER_INTERVAL_MICROS) {
                     loop.at(loop.now() + at, () -> BadCallers.garbage(loop, softswitch.port(), random, log,
                             "bad callers of " + softswitch.party()));
                 }
             }
-            case CROWD -> crowd(softswitch, fault.size());
+            case CROWD -> openIncompleteConnections(softswitch, fault.size());
             default -> {
                 Habit habit = switch (fault.kind()) {
                     case REPEATED_ID -> Habit.REPEATED_ID;
@@ -87,22 +88,23 @@
                     default -> Habit.SEND_AND_CLOSE;
                 };
                 softswitch.callers().habit(habit, true);
-                after(fault, () -> softswitch.callers().habit(habit, false));
+                scheduleEnd(fault, () -> softswitch.callers().habit(habit, false));
             }
         }
     }
 
-    /** Opens connections that never finish a request, some at a time. */
-    private void crowd(SoftswitchHost softswitch, int left) {
-        for (int i = 0; i < Math.min(CROWD_STEP, left); i++) {
+    /** Opens connections that never complete a request, in batches. */
+    private void openIncompleteConnections(SoftswitchHost softswitch, int remaining) {
+        for (int i = 0; i < Math.min(CONNECTION_BATCH_SIZE, remaining); i++) {
             BadCallers.mute(loop, softswitch.port(), i, log, "crowd of " + softswitch.party());
         }
-        if (left > CROWD_STEP) {
-            loop.at(loop.now() + BETWEEN_BAD_CALLERS / 2, () -> crowd(softswitch, left - CROWD_STEP));
+        if (remaining > CONNECTION_BATCH_SIZE) {
+            loop.at(loop.now() + BAD_CALLER_INTERVAL_MICROS / 2,
+                    () -> openIncompleteConnections(softswitch, remaining - CONNECTION_BATCH_SIZE));
         }
     }
 
-    private void onExchange(PlannedFault fault, ExchangeHost exchange) {
+    private void injectIntoExchange(PlannedFault fault, ExchangeHost exchange) {
         switch (fault.kind()) {
             case VANISH -> exchange.vanish(fault.size(), fault.forMs(), true);
             case REPLACE -> exchange.vanish(fault.size(), fault.forMs(), false);
@@ -111,57 +113,57 @@
             case HANG -> {
                 ExchangeStandIn process = exchange.process();
                 process.hang();
-                after(fault, process::wake);
+                scheduleEnd(fault, process::wake);
             }
             case SPOILT_ANSWER -> {
                 ExchangeStandIn process = exchange.process();
                 process.spoilsAnswers(true);
-                after(fault, () -> process.spoilsAnswers(false));
+                scheduleEnd(fault, () -> process.spoilsAnswers(false));
             }
             case PARTITION -> {
                 if (!exchange.down()) {
-                    onNetworks(exchange, FaultProxy::blackhole);
+                    forEachProxy(exchange, FaultProxy::blackhole);
                     ExchangeStandIn process = exchange.process();
-                    after(fault, () -> {
+                    scheduleEnd(fault, () -> {
                         if (!exchange.down() && exchange.process() == process) {
-                            onNetworks(exchange, FaultProxy::heal);
+                            forEachProxy(exchange, FaultProxy::heal);
                         }
                     });
                 }
             }
-            default -> onConnections(fault, exchange);
+            default -> injectIntoConnections(fault, exchange);
         }
     }
 
-    private void onConnections(PlannedFault fault, ExchangeHost exchange) {
+    private void injectIntoConnections(PlannedFault fault, ExchangeHost exchange) {
         switch (fault.kind()) {
-            case RESET -> onNetworks(exchange, FaultProxy::reset);
+            case RESET -> forEachProxy(exchange, FaultProxy::reset);
             case LATE_CONNECT -> {
                 if (!exchange.down()) {
-                    onNetworks(exchange, FaultProxy::holdConnects);
-                    after(fault, () -> {
+                    forEachProxy(exchange, FaultProxy::holdConnects);
+                    scheduleEnd(fault, () -> {
                         if (!exchange.down()) {
-                            onNetworks(exchange, FaultProxy::admitConnects);
+                            forEachProxy(exchange, FaultProxy::admitConnects);
                         }
                     });
                 }
             }
             case CLOSE_EARLY -> {
-                onNetworks(exchange, proxy -> proxy.closesEarly(true));
-                after(fault, () -> onNetworks(exchange, proxy -> proxy.closesEarly(false)));
+                forEachProxy(exchange, proxy -> proxy.closesEarly(true));
+                scheduleEnd(fault, () -> forEachProxy(exchange, proxy -> proxy.closesEarly(false)));
             }
             case RESET_IN_MESSAGE -> {
-                onNetworks(exchange, proxy -> proxy.resetsAfter(fault.size()));
-                after(fault, () -> onNetworks(exchange, proxy -> proxy.resetsAfter(0)));
+                forEachProxy(exchange, proxy -> proxy.resetsAfter(fault.size()));
+                scheduleEnd(fault, () -> forEachProxy(exchange, proxy -> proxy.resetsAfter(0)));
             }
             default -> {
-                onNetworks(exchange, proxy -> proxy.piecesOf(fault.size()));
-                after(fault, () -> onNetworks(exchange, proxy -> proxy.piecesOf(0)));
+                forEachProxy(exchange, proxy -> proxy.piecesOf(fault.size()));
+                scheduleEnd(fault, () -> forEachProxy(exchange, proxy -> proxy.piecesOf(0)));
             }
         }
     }
 
-    private static void onNetworks(ExchangeHost exchange, Consumer<FaultProxy> change) {
+    private static void forEachProxy(ExchangeHost exchange, Consumer<FaultProxy> change) {
         exchange.proxies().forEach(change);
     }
 }
--- a/src/main/java/wingspread/testbed/soak/FaultKind.java
+++ b/src/main/java/wingspread/testbed/soak/FaultKind.java
@@ -2,69 +2,69 @@
 
 import java.util.Locale;
 
-/** What a trial can do to a softswitch and to those it talks to, by the group of faults that it belongs to. */
+/** The faults that a trial can inject into a softswitch and its peers. Each belongs to a group of faults. */
 public enum FaultKind {
-    /** SIGTERM to a softswitch, SIGKILL at the earliest time that the platform allows, and a new start. */
+    /** SIGTERM to a softswitch, SIGKILL at the earliest time that the platform allows, and a restart. */
     RESTART(Group.SHUTDOWN, Target.SOFTSWITCH),
-    /** SIGKILL without a word, and a new start. */
+    /** SIGKILL to a softswitch without a preceding SIGTERM, and a restart. */
     KILL(Group.SHUTDOWN, Target.SOFTSWITCH),
-    /** Three configurations in quick succession, each with another address of the directory, and SIGHUP for each. */
+    /** Three configurations in quick succession, each with a new address of the directory, and a SIGHUP for each. */
     RELOAD(Group.DISCOVERY, Target.SOFTSWITCH),
-    /** The directory answers nothing. */
+    /** The directory does not answer. */
     DIRECTORY_SILENT(Group.DISCOVERY, Target.NONE),
     /** The directory answers {@code size} milliseconds late. */
     DIRECTORY_LATE(Group.DISCOVERY, Target.NONE),
-    /** The directory's answers end early. */
+    /** The directory's answers are cut short. */
     DIRECTORY_CUT(Group.DISCOVERY, Target.NONE),
-    /** The directory's answers are marked as truncated, and name only the first exchanges. */
+    /** The directory's answers are marked as truncated, and list only the first exchanges. */
     DIRECTORY_TRUNCATED(Group.DISCOVERY, Target.NONE),
     /** The directory answers with an earlier list. */
     DIRECTORY_OLD(Group.DISCOVERY, Target.NONE),
-    /** The directory answers under another id. */
+    /** The directory's answers carry an id that does not match the query. */
     DIRECTORY_WRONG_ID(Group.DISCOVERY, Target.NONE),
-    /** The directory answers that it has failed. */
+    /** The directory answers with an error code. */
     DIRECTORY_ERROR(Group.DISCOVERY, Target.NONE),
-    /** An exchange drains, and goes {@code size} milliseconds later. */
+    /** An exchange drains, and is shut down {@code size} milliseconds later. */
     DRAIN(Group.DISCOVERY, Target.EXCHANGE),
-    /** Callers that send what cannot be read. */
+    /** Callers send malformed requests. */
     GARBAGE(Group.CALLERS, Target.SOFTSWITCH),
-    /** {@code size} connections of callers that never finish a request. */
+    /** Callers open {@code size} connections and never complete a request on them. */
     CROWD(Group.CALLERS, Target.SOFTSWITCH),
-    /** Callers that offer the id of an open call again. */
+    /** Callers offer the id of an open call again. */
     REPEATED_ID(Group.CALLERS, Target.SOFTSWITCH),
-    /** Callers that give up early. */
+    /** Callers abandon their calls early. */
     GIVE_UP(Group.CALLERS, Target.SOFTSWITCH),
-    /** An exchange's answers come twice, late, or spoilt. */
+    /** An exchange's answers are duplicated, late or corrupted. */
     SPOILT_ANSWER(Group.CALLERS, Target.EXCHANGE),
-    /** An exchange's machine vanishes: its connections are silent, new ones never come up; it returns started anew. */
+    /** An exchange's machine fails: its connections are silent, new ones are never established. It restarts later. */
     VANISH(Group.NETWORK, Target.EXCHANGE),
-    /** The same, and a new exchange takes its address. */
+    /** An exchange's machine fails as in {@link #VANISH}, and a new exchange takes over its address. */
     REPLACE(Group.NETWORK, Target.EXCHANGE),
-    /** An exchange's process hangs: connections come up, nothing is answered. */
+    /** An exchange's process hangs: connections are established, but nothing is answered. */
     HANG(Group.NETWORK, Target.EXCHANGE),
-    /** An exchange is cut off from all softswitches, and works on. */
+    /** An exchange is cut off from all softswitches, but continues to run. */
     PARTITION(Group.NETWORK, Target.EXCHANGE),
-    /** An exchange's process dies: connections are reset and new ones refused; it is started again. */
+    /** An exchange's process crashes: connections are reset and new ones refused until it is restarted. */
     CRASH(Group.NETWORK, Target.EXCHANGE),
     /** All connections to an exchange are reset. */
     RESET(Group.NETWORK, Target.EXCHANGE),
-    /** New connections to an exchange come up late. */
+    /** New connections to an exchange are established late. */
     LATE_CONNECT(Group.NETWORK, Target.EXCHANGE),
-    /** New connections to an exchange are closed at once. */
+    /** New connections to an exchange are closed immediately. */
     CLOSE_EARLY(Group.NETWORK, Target.EXCHANGE),
-    /** Connections are reset {@code size} bytes into what the exchange sends. */
+    /** Connections are reset after {@code size} bytes from the exchange. */
     RESET_IN_MESSAGE(Group.PIECES, Target.EXCHANGE),
-    /** What an exchange sends comes in pieces of {@code size} bytes. */
+    /** Data from an exchange arrives in segments of {@code size} bytes. */
     PIECES(Group.PIECES, Target.EXCHANGE),
-    /** Callers send their requests in pieces. */
+    /** Callers send their requests in several segments. */
     SLOW_WRITER(Group.PIECES, Target.SOFTSWITCH),
-    /** Callers send a request as they close their connection. */
+    /** Callers send a request and close their connection right after it. */
     SEND_AND_CLOSE(Group.PIECES, Target.SOFTSWITCH);
 
-    /** What kind of trouble a fault is. */
+    /** The group of a fault; a drawn schedule has faults of every group. */
     public enum Group { SHUTDOWN, DISCOVERY, CALLERS, NETWORK, PIECES }
 
-    /** Whom a fault strikes. */
+    /** The kind of component that a fault affects; {@code NONE} for the directories of all softswitches. */
     public enum Target { NONE, SOFTSWITCH, EXCHANGE }
 
     private final Group group;
@@ -83,15 +83,15 @@
         return target;
     }
 
-    /** Its name on the command line, as in {@code directory-silent}. */
+    /** Returns the fault's name on the command line, such as {@code directory-silent}. */
     public String option() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * The fault of a name on the command line.
+     * Returns the fault with a name on the command line.
      *
-     * @throws IllegalArgumentException where there is none
+     * @throws IllegalArgumentException if there is no such fault
      */
     public static FaultKind ofOption(String option) {
         return valueOf(option.strip().toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/src/main/java/wingspread/testbed/soak/Judge.java
+++ b/src/main/java/wingspread/testbed/soak/Judge.java
@@ -20,38 +20,40 @@
 import wingspread.net.Loop;
 
 /**
- * Holds what the stand-ins have seen against the platform's rules, with the rule book of the laboratory. It never asks
- * a softswitch. Times are microseconds; confined to the trial's loop.
+ * Checks the events that the stand-ins observe against the platform's rules, using the rule book of the laboratory. It
+ * relies on the stand-ins alone and never queries a softswitch. Times are microseconds; confined to the trial's loop.
  */
 final class Judge {
-    /** The pages' own slack on every time, and what the stand-ins' loop may be late on a busy machine. */
-    static final long SLACK = 50_000 + 100_000;
-    /** An answer within this after the caller's time only earns nothing. */
-    static final long LATE_ANSWER = 500_000;
-    /** The pause after a time-out, reset or cancel, less the slack by which the stand-ins may see the end late. */
-    private static final long RELEASE_PAUSE = 150_000;
-    private static final int MOST_ATTEMPTS = 6;
-    private static final long DRAIN_GRACE = 500_000;
-    private static final double FALL_MULTIPLE = 2;
-    private static final long FALL_WINDOW = 1_000_000;
-    private static final long LATE_FOR = 300_000;
-
-    /** A call that a caller has offered. */
+    /** The slack that the pages grant on every time, plus the delay of the stand-ins' loop on a busy machine. */
+    static final long TIMING_SLACK_MICROS = 50_000 + 100_000;
+    /** An answer that is late by no more than this earns no value, but breaks no rule. */
+    static final long LATE_ANSWER_MICROS = 500_000;
+    /** The pause after a time-out, reset or cancel, less the slack by which the stand-ins may see its end late. */
+    private static final long RELEASE_PAUSE_MICROS = 150_000;
+    private static final int MAX_ATTEMPTS = 6;
+    private static final long DRAIN_GRACE_MICROS = 500_000;
+    /** The load that a cold exchange may receive within the window, as a multiple of its cold capacity. */
+    private static final double FAIL_BACK_MULTIPLE = 2;
+    private static final long FAIL_BACK_WINDOW_MICROS = 1_000_000;
+    /** How long after a delay of the stand-ins' loop the order of events counts as unknown. */
+    private static final long LATE_LOOP_WINDOW_MICROS = 300_000;
+
+    /** A call that a caller has offered, and its state. */
     private static final class Call {
         final Taken taken;
         final int softswitch;
-        /** Which process of the softswitch took it, counted from its first start. */
+        /** The number of the softswitch's process that accepted the call, counted from its first start. */
         final int process;
-        /** The exchange of the attempt that is out; null for none. */
-        String attemptAt;
-        long attemptUntil;
+        /** The exchange of the attempt in progress; null if there is none. */
+        String attemptExchange;
+        long attemptDeadline;
         String description;
-        /** The exchange that has answered last; a call stands there or nowhere. */
+        /** The exchange that answered last; the call is established there or nowhere. */
         String answeredBy;
         long answeredAt = Long.MIN_VALUE;
         boolean attempted;
-        boolean standing;
-        boolean over;
+        boolean established;
+        boolean ended;
         boolean released;
 
         Call(Taken taken, int softswitch, int process) {
@@ -61,35 +63,39 @@
         }
     }
 
-    /** A change of the list of exchanges, as the directory of one softswitch numbers it. */
-    private record Change(int serial, String uid, boolean away) { }
+    /** A change to the list of exchanges, with the serial number that the directory of one softswitch gave it. */
+    private record Change(int serial, String uid, boolean removed) { }
 
     private final Loop loop;
     private final RuleBook rules;
     private final TrialLog log;
     private final Map<String, Call> calls = new HashMap<>();
-    private final Map<Integer, List<Change>> untold = new HashMap<>();
-    private final Map<Integer, Set<String>> informed = new HashMap<>();
-    private final Map<String, Long> addresses = new LinkedHashMap<>();
-    private final Map<String, Pushed> pushed = new HashMap<>();
-    /** Softswitches that were killed and not started again yet. */
+    /** The changes of the list that each softswitch has not been informed of yet. */
+    private final Map<Integer, List<Change>> pendingChanges = new HashMap<>();
+    /** The exchanges that the current process of each softswitch has been informed of, including removed ones. */
+    private final Map<Integer, Set<String>> knownExchanges = new HashMap<>();
+    private final Map<String, Long> addressIds = new LinkedHashMap<>();
+    /** The recent set-ups at each exchange that arrived while it was cold. */
+    private final Map<String, Pushed> coldLoads = new HashMap<>();
+    /** Softswitches that were terminated by SIGKILL and have not been restarted yet. */
     private final Set<Integer> down = new HashSet<>();
+    /** How many processes of each softswitch have been started. */
     private final Map<Integer, Integer> processes = new HashMap<>();
     private final Map<Excuse, Integer> excused = new EnumMap<>(Excuse.class);
     private final List<String> testbedFaults = new ArrayList<>();
     private final Counts counts = new Counts();
-    private long lateUntil;
+    private long loopLateUntil;
 
-    /** The stand-ins' loop did not run for a while: the order of what came meanwhile is not known. */
+    /** Reports that the stand-ins' loop was delayed, so that the order of the events in that time is unknown. */
     void loopWasLate() {
-        lateUntil = loop.now() + LATE_FOR;
+        loopLateUntil = loop.now() + LATE_LOOP_WINDOW_MICROS;
     }
 
-    /** How much was judged. */
+    /** Counts of the calls and attempts of a trial. */
     static final class Counts {
-        long unjudged;
+        long notChecked;
         long offered;
-        long stood;
+        long established;
         long refused;
         long failed;
         long late;
@@ -100,8 +106,9 @@
     Judge(Loop loop, TrialLog log) {
         this.loop = loop;
         this.log = log;
-        this.rules = new RuleBook(new Obligations(LATE_ANSWER + SLACK, DRAIN_GRACE + SLACK, 0, 0, 0, FALL_MULTIPLE,
-                FALL_WINDOW), MOST_ATTEMPTS, RELEASE_PAUSE, loop.now());
+        this.rules = new RuleBook(new Obligations(LATE_ANSWER_MICROS + TIMING_SLACK_MICROS,
+                DRAIN_GRACE_MICROS + TIMING_SLACK_MICROS, 0, 0, 0, FAIL_BACK_MULTIPLE, FAIL_BACK_WINDOW_MICROS),
+                MAX_ATTEMPTS, RELEASE_PAUSE_MICROS, loop.now());
     }
 
     Counts counts() {
@@ -116,110 +123,121 @@
         return rules.breaches();
     }
 
-    /** What went wrong with the testbed itself; a trial with any of it says nothing of the softswitch. */
+    /** Faults of the test bed itself; a trial with any of them is no evidence about the softswitch. */
     List<String> testbedFaults() {
         return testbedFaults;
     }
 
-    /** Notes a stand-in that could not listen. */
+    /** Records a fault of the test bed where a stand-in failed to bind its port. */
     void bound(Future<?> bound) {
-        // One that was closed before it listened was not wanted any longer.
+        // A listener that was closed before it was bound was no longer needed.
         if (!bound.isSuccess() && !(bound.cause() instanceof ClosedChannelException)) {
-            testbedFaults.add("a stand-in cannot listen: " + bound.cause());
+            testbedFaults.add("a stand-in cannot bind its port: " + bound.cause());
         }
     }
 
-    /** Something in the testbed itself has failed. */
-    void testbedFailed(String what) {
-        testbedFaults.add(what);
+    /** Records a fault of the test bed itself. */
+    void testbedFailed(String description) {
+        testbedFaults.add(description);
     }
 
-    private void excuse(Excuse excuse, String call) {
+    private void recordExcuse(Excuse excuse, String call) {
         excused.merge(excuse, 1, Integer::sum);
         log.add("judge", call, "excused: " + excuse + " (" + excuse.sentence() + ")");
     }
 
     // Softswitches and exchanges.
 
-    /** A process of a softswitch starts; it knows nothing of what the one before it was told. */
-    void started(int softswitch, List<String> named) {
+    /** A process of a softswitch starts; it knows only the listed exchanges, not what its predecessor had learnt. */
+    void started(int softswitch, List<String> listed) {
         processes.merge(softswitch, 1, Integer::sum);
         down.remove(softswitch);
-        untold.put(softswitch, new ArrayList<>());
-        informed.put(softswitch, new HashSet<>(named));
-        named.forEach(uid -> rules.told(softswitch, address(uid), false, loop.now()));
+        pendingChanges.put(softswitch, new ArrayList<>());
+        knownExchanges.put(softswitch, new HashSet<>(listed));
+        listed.forEach(uid -> rules.told(softswitch, addressId(uid), false, loop.now()));
     }
 
-    private long address(String uid) {
-        return addresses.computeIfAbsent(uid, u -> addresses.size() + 1L);
+    /** Returns the number by which the rule book knows an exchange. */
+    private long addressId(String uid) {
+        return addressIds.computeIfAbsent(uid, ignored -> addressIds.size() + 1L);
     }
 
-    /** The list has changed; the softswitch counts as told once an answer with this number is sent to it. */
-    void listChanged(int softswitch, int serial, String uid, boolean away) {
-        untold.computeIfAbsent(softswitch, n -> new ArrayList<>()).add(new Change(serial, uid, away));
+    /** The list has changed; the softswitch counts as informed once an answer with this serial is sent to it. */
+    void listChanged(int softswitch, int serial, String uid, boolean removed) {
+        pendingChanges.computeIfAbsent(softswitch, ignored -> new ArrayList<>()).add(new Change(serial, uid, removed));
     }
 
-    /** The softswitch has been sent the list of this number, or counts as told of it. */
+    /** The softswitch has been sent the list with this serial, or must know it by now. */
     void listTold(int softswitch, int serial) {
-        List<Change> changes = untold.get(softswitch);
+        List<Change> changes = pendingChanges.get(softswitch);
         if (changes == null) {
             return;
         }
         for (Change change : List.copyOf(changes)) {
             if (change.serial() <= serial) {
                 changes.remove(change);
-                informed.get(softswitch).add(change.uid());
-                rules.told(softswitch, address(change.uid()), change.away(), loop.now());
+                knownExchanges.get(softswitch).add(change.uid());
+                rules.told(softswitch, addressId(change.uid()), change.removed(), loop.now());
             }
         }
     }
 
-    /** The process is killed outright: releases that it has heard and not told are as if they were never sent. */
+    /**
+     * A process of a softswitch is terminated by SIGKILL: releases that it received and did not pass on to callers
+     * count as never sent.
+     */
     void killed(int softswitch) {
         down.add(softswitch);
         calls.forEach((id, call) -> {
-            if (call.softswitch == softswitch && call.standing && call.released) {
+            if (call.softswitch == softswitch && call.established && call.released) {
                 unsent(id);
             }
         });
     }
 
-    /** A release that was sent has not been heard, as its connection ended with it. */
+    /** A release was sent but not received, as its connection was closed while it was in transit. */
     void unsent(String id) {
         Call call = calls.get(id);
-        if (call != null && call.standing) {
+        if (call != null && call.established) {
             call.released = false;
             rules.unsent(id);
         }
     }
 
-    /** Something is wrong with a softswitch's process. */
-    void processBroken(int softswitch, String what) {
-        log.add("n" + softswitch, "PROCESS " + what);
-        rules.broken(Rule.PROCESS, TrialLog.NO_CALL, softswitch, loop.now(), what);
+    /** Records a breach of the rules on a softswitch's process, such as a crash. */
+    void processBroken(int softswitch, String description) {
+        log.add("n" + softswitch, "PROCESS " + description);
+        rules.broken(Rule.PROCESS, TrialLog.NO_CALL, softswitch, loop.now(), description);
     }
 
-    // What callers see.
+    // Events observed by callers.
 
-    /** A set-up was written whole; {@code onlyTo} is its destination where it is in transit, else -1. */
-    void offered(String id, int softswitch, long deadline, int onlyTo) {
+    /**
+     * A set-up was written in full.
+     *
+     * @param transitDestination the destination of a transit call; -1 for any other call
+     */
+    void offered(String id, int softswitch, long deadline, int transitDestination) {
         counts.offered++;
-        calls.put(id, new Call(rules.taken(id, softswitch, deadline, onlyTo), softswitch,
+        calls.put(id, new Call(rules.taken(id, softswitch, deadline, transitDestination), softswitch,
                 processes.getOrDefault(softswitch, 0)));
     }
 
-    /** No answer is owed, for a reason that the pages name; a set-up may be on its way for a moment still. */
+    /**
+     * No answer is required, for a reason that the pages name. Takes effect after the slack, as a set-up may still be
+     * in transit.
+     */
     void excused(String id, Excuse excuse) {
-        excuse(excuse, id);
-        loop.at(loop.now() + SLACK, () -> rules.givenUp(calls.get(id).taken));
+        recordExcuse(excuse, id);
+        loop.at(loop.now() + TIMING_SLACK_MICROS, () -> rules.givenUp(calls.get(id).taken));
     }
 
-    /** The connection of a set-up ended without an answer. */
-    void lost(String id, String how) {
+    /** The connection of a set-up was closed without an answer. */
+    void lost(String id, String cause) {
         Call call = calls.get(id);
         rules.givenUp(call.taken);
-        log.add("judge", id, "LOST: " + how);
-        rules.broken(Rule.ONE_ANSWER, id, call.softswitch, loop.now(), how);
+        log.add("judge", id, "LOST: " + cause);
+        rules.broken(Rule.ONE_ANSWER, id, call.softswitch, loop.now(), cause);
     }
 
     void refused(String id) {
@@ -233,16 +251,16 @@
     }
 
     void stood(String id, String description) {
-        counts.stood++;
+        counts.established++;
         Call call = calls.get(id);
         answered(id);
         if (!description.equals(call.description)) {
             rules.broken(Rule.ONE_ANSWER, id, call.softswitch, loop.now(),
-                    "answered as standing with '" + description + "', which no exchange gave for it");
+                    "answered as established with '" + description + "', which no exchange returned for it");
         }
-        call.standing = true;
+        call.established = true;
         rules.stood(id, call.softswitch);
-        if (call.over) {
+        if (call.ended) {
             rules.over(id, loop.now());
         }
     }
@@ -253,43 +271,44 @@
         rules.answered(call.taken, loop.now());
     }
 
-    /** Whether a set-up of the call has reached an exchange: its softswitch has read it. */
+    /** Whether a set-up of the call has reached an exchange, which shows that its softswitch has read it. */
     boolean wasAttempted(String id) {
         return calls.get(id).attempted;
     }
 
-    /** Whether a call stands for its caller. */
+    /** Whether the call is established from its caller's point of view. */
     boolean stands(String id) {
-        return calls.containsKey(id) && calls.get(id).standing;
+        return calls.containsKey(id) && calls.get(id).established;
     }
 
-    /** An answer under an id that is not open and does not stand. */
+    /** An answer arrived under an id that belongs to no open or established call. */
     void answeredAstray(String id, int softswitch) {
         rules.answeredAstray(id, softswitch, loop.now());
     }
 
-    /** Whether a call is known and has had its final answer. */
+    /** Whether the call is known; queried only for calls that are no longer open, and so have been answered. */
     boolean isAnswered(String id) {
         return calls.containsKey(id);
     }
 
-    /** The caller has heard that its call is over, or ends it itself. */
+    /** The caller has been notified of the end of its call, or ends the call itself. */
     void toldOver(String id) {
         Call call = calls.get(id);
-        if (call.standing) {
-            call.standing = false;
+        if (call.established) {
+            call.established = false;
             counts.ended++;
             rules.toldOver(id, loop.now());
         }
     }
 
-    // What exchanges see.
+    // Events observed by exchanges.
 
     /**
-     * A set-up has arrived. Where the list of its softswitch does not name this exchange, but the one that had the
-     * address before, it was sent to that one.
+     * A set-up has arrived at an exchange. Where the list of its softswitch holds not this exchange but its predecessor
+     * at the same address, the set-up counts as sent to the predecessor.
      *
-     * @param coldCapacity what a cold exchange bears a second, 0 where it is warm
+     * @param leftMicros time left until the deadline of the attempt
+     * @param coldCapacity set-ups a second that a cold exchange can handle; 0 if the exchange is warm
      */
     void attemptArrived(String id, String uid, String predecessor, int place, long leftMicros, double coldCapacity) {
         counts.attempts++;
@@ -299,45 +318,46 @@
             rules.sentAstray(id, -1, now);
             return;
         }
-        if (now < lateUntil && call.answeredAt > now - LATE_FOR) {
-            // The stand-ins have read late: which came first, this or the answer, cannot be told.
-            counts.unjudged++;
+        if (now < loopLateUntil && call.answeredAt > now - LATE_LOOP_WINDOW_MICROS) {
+            // The stand-ins read late, so the order of this set-up and the answer is unknown.
+            counts.notChecked++;
             return;
         }
-        if (call.attemptAt != null && now >= call.attemptUntil) {
-            end(call, Status.TIMEOUT, call.attemptUntil);
+        if (call.attemptExchange != null && now >= call.attemptDeadline) {
+            end(call, Status.TIMEOUT, call.attemptDeadline);
         }
-        Set<String> known = informed.getOrDefault(call.softswitch, Set.of());
+        Set<String> known = knownExchanges.getOrDefault(call.softswitch, Set.of());
         String addressee = !known.contains(uid) && known.contains(predecessor) ? predecessor : uid;
-        rules.sent(call.taken, address(addressee), place, now);
+        rules.sent(call.taken, addressId(addressee), place, now);
         call.attempted = true;
-        call.attemptAt = uid;
-        call.attemptUntil = now + leftMicros;
+        call.attemptExchange = uid;
+        call.attemptDeadline = now + leftMicros;
         if (coldCapacity > 0) {
-            push(uid, call.softswitch, now, coldCapacity);
+            addColdLoad(uid, call.softswitch, now, coldCapacity);
         }
     }
 
-    private void push(String uid, int softswitch, long now, double capacity) {
-        Pushed onExchange = pushed.computeIfAbsent(uid, u -> new Pushed());
-        onExchange.add(now, FALL_WINDOW, 1, informed.getOrDefault(softswitch, Set.of()).contains(uid));
-        double allowed = FALL_MULTIPLE * capacity * FALL_WINDOW / 1_000_000;
+    /** Adds a set-up to the load of a cold exchange, and checks the fail-back rule with slack for random arrivals. */
+    private void addColdLoad(String uid, int softswitch, long now, double capacity) {
+        Pushed load = coldLoads.computeIfAbsent(uid, ignored -> new Pushed());
+        load.add(now, FAIL_BACK_WINDOW_MICROS, 1, knownExchanges.getOrDefault(softswitch, Set.of()).contains(uid));
+        double allowed = FAIL_BACK_MULTIPLE * capacity * FAIL_BACK_WINDOW_MICROS / 1_000_000;
         double slack = allowed < 30 ? 3 * Math.sqrt(allowed) + 3 : 2 * Math.sqrt(allowed) + 2;
-        if (onExchange.sum() > allowed + slack && onExchange.mostlyInformed()) {
-            rules.broken(Rule.FAIL_BACK, TrialLog.NO_CALL, softswitch, now, uid + " got " + onExchange.sum()
+        if (load.sum() > allowed + slack && load.mostlyInformed()) {
+            rules.broken(Rule.FAIL_BACK, TrialLog.NO_CALL, softswitch, now, uid + " received " + load.sum()
                     + " set-ups within a second, " + allowed + " were allowed");
-            onExchange.clear();
+            load.clear();
         }
     }
 
     private void end(Call call, Status status, long at) {
-        call.attemptAt = null;
+        call.attemptExchange = null;
         rules.ended(call.taken, status, at);
     }
 
     private void ended(String id, Status status) {
         Call call = calls.get(id);
-        if (call != null && call.attemptAt != null) {
+        if (call != null && call.attemptExchange != null) {
             end(call, status, loop.now());
         }
     }
@@ -354,31 +374,31 @@
         ended(id, Status.FULL);
     }
 
-    /** The exchange answers that the call stands. */
+    /** The exchange has answered that the call is established. */
     void attemptAnswered(String id, String uid, String description) {
         Call call = calls.get(id);
-        if (call != null && uid.equals(call.attemptAt)) {
+        if (call != null && uid.equals(call.attemptExchange)) {
             call.description = description;
             call.answeredBy = uid;
             end(call, Status.OK, loop.now());
         }
     }
 
-    /** A call is over at an exchange, and no release can be sent. */
+    /** A call has ended at an exchange, and no release can be sent. */
     void over(String id, String uid) {
         Call call = calls.get(id);
         if (call != null && uid.equals(call.answeredBy)) {
-            call.over = true;
+            call.ended = true;
             rules.over(id, loop.now());
         }
     }
 
-    /** Whether the exchange holds a call to be over. */
+    /** Whether the call has ended at its exchange. */
     boolean isOver(String id) {
-        return calls.containsKey(id) && calls.get(id).over;
+        return calls.containsKey(id) && calls.get(id).ended;
     }
 
-    /** An exchange has sent the release of a call. */
+    /** The exchange has sent the release of a call. */
     void released(String id, String uid) {
         Call call = calls.get(id);
         if (call == null || !uid.equals(call.answeredBy)) {
@@ -387,7 +407,7 @@
         if (down.contains(call.softswitch)) {
             over(id, uid);
         } else {
-            call.over = true;
+            call.ended = true;
             call.released = true;
             rules.released(id, loop.now());
         }
@@ -396,24 +416,24 @@
     /** The softswitch has released a call at the exchange. */
     void releasedBySoftswitch(String id) {
         Call call = calls.get(id);
-        if (call != null && call.standing) {
-            // 'within 1 s of the release by the exchange or the softswitch'
-            call.over = true;
+        if (call != null && call.established) {
+            // The rule says 'within 1 s of the release by the exchange or the softswitch', so this counts as one.
+            call.ended = true;
             rules.released(id, loop.now());
         }
     }
 
-    /** Calls that are owed an answer or, being over, word of their end. */
-    long owed() {
-        return rules.owed() + calls.values().stream().filter(c -> c.standing && c.over).count();
+    /** Returns how many answers, and notifications of the end of a call, are still pending. */
+    long pendingCount() {
+        return rules.owed() + calls.values().stream().filter(call -> call.established && call.ended).count();
     }
 
-    /** The trial is over. */
+    /** Ends the trial: applies the remaining excuses and checks what is still pending. */
     void close() {
         calls.forEach((id, call) -> {
-            if (call.standing && call.over && !call.released
+            if (call.established && call.ended && !call.released
                     && call.process != processes.getOrDefault(call.softswitch, 0)) {
-                excuse(Excuse.STARTED_FROM_NOTHING, id);
+                recordExcuse(Excuse.STARTED_FROM_NOTHING, id);
                 rules.excused(id);
             }
         });
--- a/src/main/java/wingspread/testbed/soak/Schedule.java
+++ b/src/main/java/wingspread/testbed/soak/Schedule.java
@@ -10,41 +10,41 @@
 import java.util.List;
 
 /**
- * All that a trial plays: a deployment and the faults that strike it. Its text form is JSON, so that a trial can be
- * played again from a file.
+ * The schedule of a trial: a deployment and the faults injected into it. It is stored as JSON, so that a trial can be
+ * repeated from a file.
  *
- * @param seed where the randomness of callers and exchanges comes from
- * @param seconds for which callers offer calls
+ * @param seed seed of the random numbers of callers and exchanges
+ * @param seconds how long callers offer calls
  */
 public record Schedule(long seed, int seconds, Deployment deployment, List<PlannedFault> faults) {
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     /**
-     * The parts of a deployment.
+     * The size of a deployment and the load offered to it.
      *
      * @param deadlinesMs the deadline of each class of call
-     * @param heapMb of each softswitch
-     * @param sockets descriptors of each softswitch
-     * @param callsPerSecond offered to each softswitch
-     * @param holdingMs mean length of a call
-     * @param capacity set-ups a second that a warm exchange takes
+     * @param heapMb heap size of each softswitch, in MB
+     * @param sockets limit of open descriptors of each softswitch
+     * @param callsPerSecond calls offered to each softswitch
+     * @param holdingMs mean holding time of a call
+     * @param capacity set-ups a second that a warm exchange can handle
      */
     public record Deployment(int softswitches, int exchanges, int zones, List<Integer> deadlinesMs, int heapMb,
             int sockets, int callsPerSecond, int holdingMs, int capacity) {
-        /** The longest deadline of a class, in microseconds. */
+        /** Returns the maximum deadline of all classes, in microseconds; 0 if there are no classes. */
         long longestDeadline() {
             return deadlinesMs.stream().mapToLong(ms -> ms * 1_000L).max().orElse(0);
         }
     }
 
     /**
-     * One fault.
+     * A fault that is injected at a given time.
      *
-     * @param target number of the softswitch or exchange; without meaning where the kind has no target
-     * @param atMs milliseconds after callers begin
-     * @param forMs how long it lasts
-     * @param size as the kind says; for VANISH and REPLACE after how many milliseconds the directory knows
+     * @param target number of the softswitch or exchange; ignored if the kind has no target
+     * @param atMs start, in milliseconds after callers start offering calls
+     * @param forMs duration, in milliseconds
+     * @param size see {@link FaultKind}; for VANISH and REPLACE the milliseconds until the directory notices
      */
     public record PlannedFault(FaultKind kind, int target, int atMs, int forMs, int size) {
         @Override
@@ -54,60 +54,60 @@
         }
     }
 
-    /** The same trial with these faults alone. */
-    Schedule withFaults(List<PlannedFault> fewer) {
-        return new Schedule(seed, seconds, deployment, List.copyOf(fewer));
+    /** Returns a copy of this schedule with the given faults in place of its own. */
+    Schedule withFaults(List<PlannedFault> newFaults) {
+        return new Schedule(seed, seconds, deployment, List.copyOf(newFaults));
     }
 
-    /** Writes it where a trial can be played again from. */
+    /** Writes the schedule as JSON, for {@link #read}. */
     void write(Path file) throws IOException {
         Files.writeString(file, JSON.writeValueAsString(this));
     }
 
     /**
-     * Reads one that {@link #write} has written, or that was written by hand.
+     * Reads a schedule that was written by {@link #write} or by hand.
      *
-     * @throws SoakException where the file holds no schedule
+     * @throws SoakException if the file does not contain a valid schedule
      */
     public static Schedule read(Path file) throws IOException {
         try {
-            return JSON.readValue(Files.readString(file), Schedule.class).checked();
+            return JSON.readValue(Files.readString(file), Schedule.class).validated();
         } catch (JsonProcessingException e) {
             throw new SoakException(file + ": " + e.getOriginalMessage());
         }
     }
 
-    private Schedule checked() {
+    private Schedule validated() {
         if (deployment == null || faults == null || deployment.deadlinesMs() == null) {
             throw new SoakException("a schedule needs seed, seconds, deployment and faults");
         }
-        check("seconds", seconds, 1, 3_600);
-        check("softswitches", deployment.softswitches(), 1, 64);
-        check("exchanges", deployment.exchanges(), 2, 1_024);
-        check("softswitches", deployment.softswitches(), 1, deployment.exchanges());
-        check("zones", deployment.zones(), 1, 64);
-        check("heapMb", deployment.heapMb(), 24, 4_096);
-        check("sockets", deployment.sockets(), 128, 65_536);
-        check("callsPerSecond", deployment.callsPerSecond(), 1, 1_000);
-        check("holdingMs", deployment.holdingMs(), 1, 600_000);
-        check("capacity", deployment.capacity(), 1, 100_000);
-        check("classes", deployment.deadlinesMs().size(), 1, 64);
-        deployment.deadlinesMs().forEach(ms -> check("deadlinesMs", ms, 50, 60_000));
+        checkRange("seconds", seconds, 1, 3_600);
+        checkRange("softswitches", deployment.softswitches(), 1, 64);
+        checkRange("exchanges", deployment.exchanges(), 2, 1_024);
+        checkRange("softswitches", deployment.softswitches(), 1, deployment.exchanges());
+        checkRange("zones", deployment.zones(), 1, 64);
+        checkRange("heapMb", deployment.heapMb(), 24, 4_096);
+        checkRange("sockets", deployment.sockets(), 128, 65_536);
+        checkRange("callsPerSecond", deployment.callsPerSecond(), 1, 1_000);
+        checkRange("holdingMs", deployment.holdingMs(), 1, 600_000);
+        checkRange("capacity", deployment.capacity(), 1, 100_000);
+        checkRange("classes", deployment.deadlinesMs().size(), 1, 64);
+        deployment.deadlinesMs().forEach(ms -> checkRange("deadlinesMs", ms, 50, 60_000));
         for (PlannedFault fault : faults) {
-            int targets = switch (fault.kind().target()) {
+            int targetCount = switch (fault.kind().target()) {
                 case NONE -> Integer.MAX_VALUE;
                 case SOFTSWITCH -> deployment.softswitches();
                 case EXCHANGE -> deployment.exchanges();
             };
-            check("target of " + fault, fault.target(), 0, targets - 1);
-            check("time of " + fault, fault.atMs(), 0, 3_600_000);
+            checkRange("target of " + fault, fault.target(), 0, targetCount - 1);
+            checkRange("time of " + fault, fault.atMs(), 0, 3_600_000);
         }
         return this;
     }
 
-    private static void check(String what, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw new SoakException(what + ": " + value + " is not between " + least + " and " + most);
+    private static void checkRange(String name, int value, int min, int max) {
+        if (value < min || value > max) {
+            throw new SoakException(name + ": " + value + " is not between " + min + " and " + max);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/wingspread/testbed/soak/ScheduleGenerator.java
@@ -0,0 +1,123 @@
+package wingspread.testbed.soak;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.EnumSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+import wingspread.testbed.soak.FaultKind.Group;
+import wingspread.testbed.soak.FaultKind.Target;
+import wingspread.testbed.soak.Schedule.Deployment;
+import wingspread.testbed.soak.Schedule.PlannedFault;
+
+/**
+ * Generates the schedule of a seed at random: a deployment, and overlapping faults of every group. The same seed always
+ * yields the same schedule.
+ */
+final class ScheduleGenerator {
+    private static final int FIRST_FAULT_MS = 500;
+    /** No fault starts in the last part of a trial, so that each has time to take effect. */
+    private static final int LAST_FAULT_BEFORE_END_MS = 3_000;
+    /** Maximum time between the start of a fault and the middle of its cluster. */
+    private static final int CLUSTER_RADIUS_MS = 1_500;
+    /** Maximum number of faults beyond one of each group. */
+    private static final int MAX_ADDITIONAL_FAULTS = 6;
+    /**
+     * Minimum time from the end of one directory fault to the start of the next. Softswitches are required to know a
+     * change of the list after 7 s, so a longer outage would require knowledge that they cannot have.
+     */
+    private static final int DIRECTORY_PAUSE_MS = 1_500;
+    private static final int MAX_DIRECTORY_FAULT_MS = 4_500;
+
+    private ScheduleGenerator() { }
+
+    /**
+     * Returns the schedule of a seed.
+     *
+     * @param seconds how long callers offer calls
+     * @param allowedKinds the kinds of faults to choose from; empty for all
+     */
+    static Schedule generate(long seed, int seconds, Collection<FaultKind> allowedKinds) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Deployment deployment = generateDeployment(random);
+        Set<FaultKind> kinds = allowedKinds.isEmpty() ? EnumSet.allOf(FaultKind.class) : EnumSet.copyOf(allowedKinds);
+        List<FaultKind> chosenKinds = new ArrayList<>();
+        for (Group group : Group.values()) {
+            List<FaultKind> ofGroup = kinds.stream().filter(kind -> kind.group() == group).toList();
+            if (!ofGroup.isEmpty()) {
+                chosenKinds.add(ofGroup.get(random.nextInt(ofGroup.size())));
+            }
+        }
+        List<FaultKind> allKinds = List.copyOf(kinds);
+        for (int remaining = random.nextInt(MAX_ADDITIONAL_FAULTS + 1); remaining > 0; remaining--) {
+            chosenKinds.add(allKinds.get(random.nextInt(allKinds.size())));
+        }
+        int latestMs = Math.max(FIRST_FAULT_MS + 1, seconds * 1_000 - LAST_FAULT_BEFORE_END_MS);
+        int[] clusterCentersMs = {random.nextInt(FIRST_FAULT_MS, latestMs), random.nextInt(FIRST_FAULT_MS, latestMs)};
+        List<PlannedFault> faults = new ArrayList<>();
+        for (FaultKind kind : chosenKinds) {
+            int atMs = clusterCentersMs[random.nextInt(clusterCentersMs.length)]
+                    + random.nextInt(-CLUSTER_RADIUS_MS, CLUSTER_RADIUS_MS + 1);
+            faults.add(generateFault(kind, Math.max(FIRST_FAULT_MS, Math.min(latestMs, atMs)), deployment, random));
+        }
+        return new Schedule(seed, seconds, deployment, sortAndSpaceOut(faults));
+    }
+
+    private static Deployment generateDeployment(SplittableRandom random) {
+        int softswitches = random.nextInt(2, 7);
+        int exchanges = random.nextInt(Math.max(3, softswitches), 13);
+        List<Integer> deadlines = new ArrayList<>();
+        for (int remaining = random.nextInt(1, 4); remaining > 0; remaining--) {
+            // From 0.1 to 5 s, log-uniformly distributed.
+            deadlines.add((int) (100 * Math.exp(random.nextDouble() * Math.log(50))));
+        }
+        return new Deployment(softswitches, exchanges, random.nextInt(1, 4), List.copyOf(deadlines),
+                random.nextInt(40, 97), random.nextInt(192, 1_025), random.nextInt(3, 16), random.nextInt(500, 5_001),
+                random.nextInt(40, 201));
+    }
+
+    private static PlannedFault generateFault(FaultKind kind, int atMs, Deployment deployment,
+            SplittableRandom random) {
+        int target = switch (kind.target()) {
+            case NONE -> 0;
+            case SOFTSWITCH -> random.nextInt(deployment.softswitches());
+            case EXCHANGE -> random.nextInt(deployment.exchanges());
+        };
+        int defaultDurationMs = random.nextInt(1_000, 5_001);
+        int size = switch (kind) {
+            case DIRECTORY_LATE -> random.nextInt(200, 1_500);
+            case VANISH, REPLACE -> random.nextInt(1_500, 9_001);
+            case DRAIN -> random.nextInt(500, 4_001);
+            case CROWD -> random.nextInt(100, 2_001);
+            case RESET_IN_MESSAGE -> random.nextInt(100, 3_000);
+            case PIECES -> random.nextInt(3, 200);
+            default -> 0;
+        };
+        int durationMs = switch (kind) {
+            case VANISH, REPLACE -> random.nextInt(1_000, 10_001);
+            case CRASH -> random.nextInt(100, 3_001);
+            case LATE_CONNECT -> random.nextInt(200, 1_001);
+            default -> kind.target() == Target.NONE ? Math.min(defaultDurationMs, MAX_DIRECTORY_FAULT_MS)
+                    : defaultDurationMs;
+        };
+        return new PlannedFault(kind, target, atMs, durationMs, size);
+    }
+
+    /** Sorts faults by their start and drops directory faults that start too soon after the previous one. */
+    private static List<PlannedFault> sortAndSpaceOut(List<PlannedFault> faults) {
+        List<PlannedFault> sorted = new ArrayList<>();
+        int earliestDirectoryFaultMs = 0;
+        for (PlannedFault fault : faults.stream().sorted(Comparator.comparingInt(PlannedFault::atMs)).toList()) {
+            if (fault.kind().target() == Target.NONE) {
+                if (fault.atMs() < earliestDirectoryFaultMs) {
+                    continue;
+                }
+                earliestDirectoryFaultMs = fault.atMs() + fault.forMs() + DIRECTORY_PAUSE_MS;
+            }
+            sorted.add(fault);
+        }
+        return sorted;
+    }
+}
--- a/src/main/java/wingspread/testbed/soak/Shrinker.java
+++ b/src/main/java/wingspread/testbed/soak/Shrinker.java
@@ -5,34 +5,38 @@
 import java.util.List;
 import wingspread.testbed.soak.Schedule.PlannedFault;
 
-/** Drops faults of a schedule that breaks a rule for as long as it still breaks one, so that it can be read. */
+/**
+ * Reduces a schedule that breaks a rule to fewer faults that still break one, which makes the cause easier to find.
+ */
 final class Shrinker {
-    /** Plays a schedule; whether it breaks a rule. */
-    interface Player {
-        boolean breaks(Schedule schedule) throws IOException, InterruptedException;
+    /** Runs a schedule and reports whether it breaks a rule. */
+    interface ScheduleRunner {
+        boolean breaksRule(Schedule schedule) throws IOException, InterruptedException;
     }
 
-    private final Player player;
-    private final int mostTrials;
+    private final ScheduleRunner runner;
+    private final int maxTrials;
     private int trials;
 
-    /** One that plays so many trials at the most. */
-    Shrinker(Player player, int mostTrials) {
-        this.player = player;
-        this.mostTrials = mostTrials;
+    Shrinker(ScheduleRunner runner, int maxTrials) {
+        this.runner = runner;
+        this.maxTrials = maxTrials;
     }
 
-    /** The smallest schedule found: halves are dropped first, then single faults. */
-    Schedule shrink(Schedule broken) throws IOException, InterruptedException {
-        Schedule smallest = broken;
-        for (int chunk = Math.max(1, broken.faults().size() / 2); chunk >= 1; chunk /= 2) {
+    /**
+     * Returns the smallest schedule found within the maximum number of trials. Drops half of the faults at a time
+     * first, then smaller and smaller chunks down to single faults.
+     */
+    Schedule shrink(Schedule failing) throws IOException, InterruptedException {
+        Schedule smallest = failing;
+        for (int chunk = Math.max(1, failing.faults().size() / 2); chunk >= 1; chunk /= 2) {
             int from = 0;
-            while (from < smallest.faults().size() && trials < mostTrials) {
-                List<PlannedFault> fewer = new ArrayList<>(smallest.faults());
-                fewer.subList(from, Math.min(fewer.size(), from + chunk)).clear();
-                Schedule candidate = smallest.withFaults(fewer);
+            while (from < smallest.faults().size() && trials < maxTrials) {
+                List<PlannedFault> remaining = new ArrayList<>(smallest.faults());
+                remaining.subList(from, Math.min(remaining.size(), from + chunk)).clear();
+                Schedule candidate = smallest.withFaults(remaining);
                 trials++;
-                if (player.breaks(candidate)) {
+                if (runner.breaksRule(candidate)) {
                     smallest = candidate;
                 } else {
                     from += chunk;
@@ -42,7 +46,7 @@
         return smallest;
     }
 
-    /** Trials that were played. */
+    /** Returns the number of trials run so far. */
     int trials() {
         return trials;
     }
--- a/src/main/java/wingspread/testbed/soak/Soak.java
+++ b/src/main/java/wingspread/testbed/soak/Soak.java
@@ -18,30 +18,33 @@
 import java.util.stream.Stream;
 
 /**
- * Plays the trials of many seeds, some side by side. A trial that breaks a rule keeps its folder, and its schedule is
- * made smaller; the folders of the others are removed.
+ * Runs the trials of many seeds, some of them in parallel. A trial that breaks a rule keeps its folder, and its
+ * schedule is reduced to fewer faults; the folders of trials that break none are deleted.
  */
 public final class Soak {
     /**
-     * What to play.
+     * The parameters of a soak.
      *
-     * @param seconds for which callers offer calls in each trial
-     * @param only the kinds of faults; empty for all
-     * @param sideBySide trials at a time
-     * @param shrinkTrials trials that making one schedule smaller may take; 0 for none
-     * @param build the jars and folders of classes of the softswitches' program; empty for this program
+     * @param seeds number of seeds, consecutive from {@code firstSeed}
+     * @param seconds how long callers offer calls in each trial
+     * @param allowedKinds the kinds of faults to choose from; empty for all
+     * @param parallelTrials number of trials run at the same time
+     * @param maxShrinkTrials maximum number of trials run to reduce one schedule; 0 disables the reduction
+     * @param build the jars and class folders of the softswitch program to run; empty for that of this program
      */
-    public record Plan(long from, int seeds, int seconds, Set<FaultKind> only, int sideBySide, int shrinkTrials,
-            List<Path> build) { }
+    public record Plan(long firstSeed, int seeds, int seconds, Set<FaultKind> allowedKinds, int parallelTrials,
+            int maxShrinkTrials, List<Path> build) { }
 
     /**
-     * What came of one seed.
+     * The outcome of one seed.
      *
-     * @param smallest the smallest schedule that still breaks a rule; null where none is broken or none was looked for
-     * @param error what kept the trial from being played; empty for nothing
+     * @param result null if the trial could not be run
+     * @param smallest the smallest schedule that still breaks a rule; null if no rule was broken or the reduction is
+     *     disabled
+     * @param error why the trial could not be run; empty if it was run
      */
     public record Outcome(long seed, Trial.Result result, Schedule smallest, String error) {
-        /** Whether a rule was broken, or the trial shows nothing. */
+        /** Whether a rule was broken, or the trial is invalid. */
         public boolean bad() {
             return result == null || result.broken() || !result.testbedFaults().isEmpty();
         }
@@ -51,41 +54,47 @@
     private final Path folder;
     private final Consumer<Outcome> progress;
 
-    /** A soak whose trials have their folders in this one; {@code progress} hears of each, on the trial's thread. */
+    /**
+     * Creates a soak.
+     *
+     * @param folder for the folders of the trials
+     * @param progress receives the outcome of each trial, on that trial's thread
+     */
     public Soak(Plan plan, Path folder, Consumer<Outcome> progress) {
         this.plan = plan;
         this.folder = folder;
         this.progress = progress;
     }
 
-    /** Plays all seeds; in the order of their numbers. */
+    /** Runs the trials of all seeds and returns their outcomes in the order of the seeds. */
     public List<Outcome> play() throws InterruptedException {
-        ExecutorService pool = Executors.newFixedThreadPool(plan.sideBySide());
+        ExecutorService pool = Executors.newFixedThreadPool(plan.parallelTrials());
         try {
-            List<Future<Outcome>> trials = LongStream.range(plan.from(), plan.from() + plan.seeds())
-                    .mapToObj(seed -> pool.submit(() -> play(ScheduleDraw.draw(seed, plan.seconds(), plan.only()))))
+            List<Future<Outcome>> trials = LongStream.range(plan.firstSeed(), plan.firstSeed() + plan.seeds())
+                    .mapToObj(seed -> pool.submit(() -> play(
+                            ScheduleGenerator.generate(seed, plan.seconds(), plan.allowedKinds()))))
                     .toList();
-            List<Outcome> out = new ArrayList<>();
+            List<Outcome> outcomes = new ArrayList<>();
             for (Future<Outcome> trial : trials) {
-                out.add(trial.get());
+                outcomes.add(trial.get());
             }
-            return out;
+            return outcomes;
         } catch (ExecutionException e) {
-            throw new CancellationException("a trial ended with " + e.getCause());
+            throw new CancellationException("a trial failed with " + e.getCause());
         } finally {
             pool.shutdownNow();
         }
     }
 
-    /** Plays one schedule, and makes it smaller where a rule is broken. */
+    /** Runs one schedule, and reduces it if a rule is broken. */
     public Outcome play(Schedule schedule) throws InterruptedException {
-        Path where = folder.resolve("seed-" + schedule.seed());
+        Path trialFolder = folder.resolve("seed-" + schedule.seed());
         Outcome outcome;
         try {
-            Trial.Result result = trial(schedule, where);
-            outcome = new Outcome(schedule.seed(), result, result.broken() ? smaller(schedule, where) : null, "");
+            Trial.Result result = runTrial(schedule, trialFolder);
+            outcome = new Outcome(schedule.seed(), result, result.broken() ? shrink(schedule, trialFolder) : null, "");
             if (!outcome.bad()) {
-                delete(where);
+                delete(trialFolder);
             }
         } catch (IOException | UncheckedIOException | SoakException e) {
             outcome = new Outcome(schedule.seed(), null, null, e.toString());
@@ -94,21 +103,21 @@
         return outcome;
     }
 
-    private Trial.Result trial(Schedule schedule, Path where) throws IOException, InterruptedException {
-        return new Trial(schedule, where, plan.build()).play();
+    private Trial.Result runTrial(Schedule schedule, Path trialFolder) throws IOException, InterruptedException {
+        return new Trial(schedule, trialFolder, plan.build()).run();
     }
 
-    private Schedule smaller(Schedule schedule, Path where) throws IOException, InterruptedException {
-        if (plan.shrinkTrials() == 0) {
+    private Schedule shrink(Schedule schedule, Path trialFolder) throws IOException, InterruptedException {
+        if (plan.maxShrinkTrials() == 0) {
             return null;
         }
-        Path scratch = where.resolve("smaller");
+        Path scratch = trialFolder.resolve("smaller");
         Shrinker shrinker = new Shrinker(candidate -> {
             delete(scratch);
-            return trial(candidate, scratch).broken();
-        }, plan.shrinkTrials());
+            return runTrial(candidate, scratch).broken();
+        }, plan.maxShrinkTrials());
         Schedule smallest = shrinker.shrink(schedule);
-        smallest.write(where.resolve("smallest.json"));
+        smallest.write(trialFolder.resolve("smallest.json"));
         return smallest;
     }
 
--- a/src/main/java/wingspread/testbed/soak/SoakException.java
+++ b/src/main/java/wingspread/testbed/soak/SoakException.java
@@ -1,6 +1,6 @@
 package wingspread.testbed.soak;
 
-/** A trial that cannot be taken or prepared; the message is one line for the person at the command line. */
+/** A schedule is invalid or a trial cannot be run; the message is a single line for the user of the command line. */
 public final class SoakException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wingspread/testbed/soak/SoakReport.java
+++ b/src/main/java/wingspread/testbed/soak/SoakReport.java
@@ -9,75 +9,78 @@
 import java.util.stream.Collectors;
 import wingspread.testbed.soak.Schedule.PlannedFault;
 
-/** What a soak came to, as a page of Markdown: what was played and judged, and what failed. */
+/** The report on a soak in Markdown: the trials that were run, what was checked, and what failed. */
 public final class SoakReport {
     private final List<Soak.Outcome> outcomes;
     private final int seconds;
-    private final Duration took;
-    private final Duration processor;
+    private final Duration wallTime;
+    private final Duration cpuTime;
 
     /**
-     * The report on these trials.
+     * Creates the report on a soak.
      *
-     * @param took by the wall
-     * @param processor time of the stand-ins' own process
+     * @param outcomes of all trials, at least one
+     * @param seconds how long callers offered calls in each trial
+     * @param wallTime the duration of the soak
+     * @param cpuTime CPU time used by the process of the stand-ins
      */
-    public SoakReport(List<Soak.Outcome> outcomes, int seconds, Duration took, Duration processor) {
+    public SoakReport(List<Soak.Outcome> outcomes, int seconds, Duration wallTime, Duration cpuTime) {
         this.outcomes = outcomes;
         this.seconds = seconds;
-        this.took = took;
-        this.processor = processor;
+        this.wallTime = wallTime;
+        this.cpuTime = cpuTime;
     }
 
-    /** The page. */
+    /** Returns the report as text. */
     public String text() {
-        List<Trial.Result> results = outcomes.stream().map(Soak.Outcome::result).filter(r -> r != null).toList();
+        List<Trial.Result> results = outcomes.stream().map(Soak.Outcome::result)
+                .filter(result -> result != null).toList();
         StringBuilder out = new StringBuilder();
         out.append(String.format(Locale.ROOT, "# Soak of %d seeds, %d to %d%n%n", outcomes.size(),
                 outcomes.get(0).seed(), outcomes.get(outcomes.size() - 1).seed()));
-        out.append("| what | measured |\n| --- | --- |\n");
+        out.append("| quantity | value |\n| --- | --- |\n");
         row(out, "trials that broke no rule", outcomes.stream().filter(o -> !o.bad()).count());
         row(out, "trials that broke a rule", results.stream().filter(Trial.Result::broken).count());
-        row(out, "trials that show nothing (the testbed failed)", outcomes.stream()
+        row(out, "invalid trials (the test bed failed)", outcomes.stream()
                 .filter(o -> o.result() == null || !o.result().testbedFaults().isEmpty()).count());
-        row(out, "seconds of calls in each", seconds);
+        row(out, "seconds of calls in each trial", seconds);
         row(out, "softswitch processes", results.stream().mapToLong(r -> r.schedule().deployment().softswitches())
                 .sum());
-        row(out, "set-ups judged", results.stream().mapToLong(Trial.Result::offered).sum());
-        row(out, "of these stood", results.stream().mapToLong(Trial.Result::stood).sum());
+        row(out, "set-ups checked", results.stream().mapToLong(Trial.Result::offered).sum());
+        row(out, "of these established", results.stream().mapToLong(Trial.Result::established).sum());
         row(out, "refused", results.stream().mapToLong(Trial.Result::refused).sum());
         row(out, "failed", results.stream().mapToLong(Trial.Result::failed).sum());
-        row(out, "standing calls whose callers were told of the end, or ended them", results.stream()
+        row(out, "established calls whose callers were notified of the end, or ended them", results.stream()
                 .mapToLong(Trial.Result::ended).sum());
-        row(out, "attempts judged", results.stream().mapToLong(Trial.Result::attempts).sum());
-        row(out, "attempts not judged, the stand-ins being late", results.stream()
-                .mapToLong(Trial.Result::unjudged).sum());
-        row(out, "most memory of a softswitch, MB", results.stream().mapToLong(Trial.Result::mostMemoryMb).max()
+        row(out, "attempts checked", results.stream().mapToLong(Trial.Result::attempts).sum());
+        row(out, "attempts not checked, as the stand-ins were late", results.stream()
+                .mapToLong(Trial.Result::notChecked).sum());
+        row(out, "peak memory of a softswitch, MB", results.stream().mapToLong(Trial.Result::peakMemoryMb).max()
                 .orElse(0));
-        row(out, "most descriptors of a softswitch", results.stream().mapToLong(Trial.Result::mostDescriptors).max()
+        row(out, "peak descriptors of a softswitch", results.stream().mapToLong(Trial.Result::peakDescriptors).max()
                 .orElse(0));
-        out.append(String.format(Locale.ROOT, "| minutes by the wall | %.1f |%n", took.toSeconds() / 60.0));
-        out.append(String.format(Locale.ROOT, "| processor seconds of the stand-ins | %d |%n", processor.toSeconds()));
+        out.append(String.format(Locale.ROOT, "| wall time in minutes | %.1f |%n", wallTime.toSeconds() / 60.0));
+        out.append(String.format(Locale.ROOT, "| CPU seconds of the stand-ins | %d |%n", cpuTime.toSeconds()));
         faults(out, results);
         excuses(out, results);
         failures(out);
         return out.toString();
     }
 
-    private static void row(StringBuilder out, String what, long figure) {
-        out.append("| ").append(what).append(" | ").append(figure).append(" |\n");
+    private static void row(StringBuilder out, String label, long value) {
+        out.append("| ").append(label).append(" | ").append(value).append(" |\n");
     }
 
     private static void faults(StringBuilder out, List<Trial.Result> results) {
         Map<FaultKind, Long> counts = results.stream().flatMap(r -> r.schedule().faults().stream())
                 .collect(Collectors.groupingBy(PlannedFault::kind, () -> new EnumMap<>(FaultKind.class),
                         Collectors.counting()));
-        out.append("\n## Faults\n\n| fault | times |\n| --- | --- |\n");
-        counts.forEach((kind, times) -> row(out, kind.option(), times));
+        out.append("\n## Faults\n\n| fault | injected |\n| --- | --- |\n");
+        counts.forEach((kind, count) -> row(out, kind.option(), count));
     }
 
     private static void excuses(StringBuilder out, List<Trial.Result> results) {
-        out.append("\n## What the pages excuse\n\n| excuse | calls |\n| --- | --- |\n");
+        out.append("\n## Calls excused by the pages\n\n| excuse | calls |\n| --- | --- |\n");
         for (Excuse excuse : Excuse.values()) {
             long calls = results.stream().mapToLong(r -> r.excused().getOrDefault(excuse, 0)).sum();
             if (calls > 0) {
@@ -87,32 +90,32 @@
     }
 
     private void failures(StringBuilder out) {
-        out.append("\n## What failed\n\n");
-        List<Soak.Outcome> bad = outcomes.stream().filter(Soak.Outcome::bad).toList();
-        if (bad.isEmpty()) {
-            out.append("Nothing.\n");
+        out.append("\n## Failures\n\n");
+        List<Soak.Outcome> failed = outcomes.stream().filter(Soak.Outcome::bad).toList();
+        if (failed.isEmpty()) {
+            out.append("None.\n");
         }
-        for (Soak.Outcome outcome : bad) {
-            String where = outcome.result() == null ? "" : outcome.result().folder().toString();
-            String what = where.isEmpty() ? describe(outcome)
-                    : describe(outcome).replace(where, "folder " + Path.of(where).getFileName());
-            out.append("- ").append(what.replace("\n", "\n  ")).append('\n');
+        for (Soak.Outcome outcome : failed) {
+            String folder = outcome.result() == null ? "" : outcome.result().folder().toString();
+            String description = folder.isEmpty() ? describe(outcome)
+                    : describe(outcome).replace(folder, "folder " + Path.of(folder).getFileName());
+            out.append("- ").append(description.replace("\n", "\n  ")).append('\n');
         }
     }
 
-    /** One outcome in words, with the faults that break the rule. */
+    /** Describes one outcome in a line, or in several with the first breaches and the faults if a rule was broken. */
     public static String describe(Soak.Outcome outcome) {
         if (outcome.result() == null) {
-            return "seed " + outcome.seed() + ": not played: " + outcome.error();
+            return "seed " + outcome.seed() + ": not run: " + outcome.error();
         }
         Trial.Result result = outcome.result();
         if (!result.testbedFaults().isEmpty()) {
-            return "seed " + outcome.seed() + ": the testbed failed: " + result.testbedFaults().get(0);
+            return "seed " + outcome.seed() + ": the test bed failed: " + result.testbedFaults().get(0);
         }
         if (!result.broken()) {
-            return String.format(Locale.ROOT, "seed %d: %d set-ups, %d stood, %d refused, %d failed, %d faults: no rule"
-                    + " broken", outcome.seed(), result.offered(), result.stood(), result.refused(), result.failed(),
-                    result.schedule().faults().size());
+            return String.format(Locale.ROOT, "seed %d: %d set-ups, %d established, %d refused, %d failed, %d faults:"
+                    + " no rule broken", outcome.seed(), result.offered(), result.established(), result.refused(),
+                    result.failed(), result.schedule().faults().size());
         }
         StringBuilder out = new StringBuilder("seed " + outcome.seed() + ": " + result.breaches().size()
                 + " breaches; " + result.folder());
--- a/src/main/java/wingspread/testbed/soak/Timeline.java
+++ b/src/main/java/wingspread/testbed/soak/Timeline.java
@@ -17,17 +17,22 @@
 import java.util.stream.Stream;
 
 /**
- * All that is known of one call of a trial, in the order of its times: what the stand-ins sent and received, what the
- * softswitches logged of it, and the faults and the state of exchanges meanwhile.
+ * The events of one call of a trial in chronological order: what the stand-ins sent and received, what the softswitches
+ * logged about it, and the faults and state changes of exchanges around that time.
  */
 public final class Timeline {
     private static final DateTimeFormatter LOG_TIME = DateTimeFormatter.ofPattern("HH:mm:ss.SSS");
     private static final int LOG_TIME_LENGTH = 12;
-    /** Faults and exchanges are shown from so long before the call. */
-    private static final long CONTEXT = 10_000_000;
+    /** How long before the call's first event and after its last one faults and state changes are included. */
+    private static final long CONTEXT_MICROS = 10_000_000;
 
-    /** One line; {@code at} is microseconds since the Unix epoch. */
-    public record Line(long at, String party, String what) { }
+    /**
+     * One event.
+     *
+     * @param atMicros microseconds since the Unix epoch
+     * @param party the process or stand-in that the event is about
+     */
+    public record Line(long atMicros, String party, String event) { }
 
     private final List<Line> lines;
 
@@ -36,33 +41,34 @@
     }
 
     /**
-     * Reads a trial's folder.
+     * Reads the timeline of a call from a trial's folder.
      *
-     * @throws SoakException where it is no such folder, or holds nothing of the call
+     * @throws SoakException if the folder is not a trial's, or contains nothing about the call
      */
     public static Timeline of(Path folder, String call) throws IOException {
         Path record = folder.resolve(Trial.RECORD_FILE);
         if (!Files.exists(record)) {
-            throw new SoakException(folder + " holds no " + Trial.RECORD_FILE + ": it is no trial's folder");
+            throw new SoakException(folder + " does not contain " + Trial.RECORD_FILE + ": it is no trial's folder");
         }
         List<TrialLog.Entry> entries = TrialLog.read(record);
         List<TrialLog.Entry> ofCall = entries.stream().filter(entry -> entry.call().equals(call)).toList();
         if (ofCall.isEmpty()) {
-            throw new SoakException(folder + " holds nothing of call " + call);
+            throw new SoakException(folder + " contains nothing about call " + call);
         }
-        long from = ofCall.get(0).at() - CONTEXT;
-        long until = ofCall.get(ofCall.size() - 1).at() + CONTEXT;
+        long from = ofCall.get(0).atMicros() - CONTEXT_MICROS;
+        long until = ofCall.get(ofCall.size() - 1).atMicros() + CONTEXT_MICROS;
         List<Line> lines = new ArrayList<>();
         for (TrialLog.Entry entry : entries) {
-            boolean context = entry.call().equals(TrialLog.NO_CALL) && entry.at() >= from && entry.at() <= until;
-            if (entry.call().equals(call) || context) {
-                lines.add(new Line(entry.at(), entry.party(), entry.what()));
+            boolean isContext = entry.call().equals(TrialLog.NO_CALL) && entry.atMicros() >= from
+                    && entry.atMicros() <= until;
+            if (entry.call().equals(call) || isContext) {
+                lines.add(new Line(entry.atMicros(), entry.party(), entry.event()));
             }
         }
-        LocalDate day = LocalDate.ofInstant(Instant.ofEpochSecond(entries.get(0).at() / 1_000_000),
+        LocalDate day = LocalDate.ofInstant(Instant.ofEpochSecond(entries.get(0).atMicros() / 1_000_000),
                 ZoneId.systemDefault());
         addLogs(folder, call, day, lines);
-        lines.sort(Comparator.comparingLong(Line::at));
+        lines.sort(Comparator.comparingLong(Line::atMicros));
         return new Timeline(lines);
     }
 
@@ -90,23 +96,23 @@
             lines.add(new Line(ChronoUnit.MICROS.between(Instant.EPOCH, at), softswitch + " log",
                     line.substring(LOG_TIME_LENGTH).strip()));
         } catch (DateTimeParseException e) {
-            // A line of the JVM's own, without a time.
+            // A line printed by the JVM itself, which has no timestamp.
             return;
         }
     }
 
-    /** The lines in their order. */
+    /** Returns the lines in chronological order. */
     public List<Line> lines() {
         return lines;
     }
 
-    /** The same as text, with seconds from the first line. */
+    /** Returns the timeline as text, with times in seconds since the first line. */
     public String text() {
         StringBuilder out = new StringBuilder();
-        long start = lines.get(0).at();
+        long start = lines.get(0).atMicros();
         for (Line line : lines) {
-            out.append(String.format(Locale.ROOT, "%9.3f  %-18s %s%n", (line.at() - start) / 1e6,
-                    line.party(), line.what()));
+            out.append(String.format(Locale.ROOT, "%9.3f  %-18s %s%n", (line.atMicros() - start) / 1e6,
+                    line.party(), line.event()));
         }
         return out.toString();
     }
--- a/src/main/java/wingspread/testbed/soak/Trial.java
+++ b/src/main/java/wingspread/testbed/soak/Trial.java
@@ -18,19 +18,19 @@
 import wingspread.net.UnixClock;
 
 /**
- * One trial: starts the softswitch processes of a schedule among stand-ins on the loopback, lets callers call, strikes
- * with the schedule's faults, ends everything, and says which rules were broken. It leaves a folder with the schedule,
- * each process's log and the stand-ins' records.
+ * One trial of a soak: starts the softswitch processes of a schedule among stand-ins on the loopback interface, has
+ * callers offer calls, injects the schedule's faults, shuts everything down and returns the breaches of rules. It
+ * leaves a folder with the schedule, the log of each process and the record of what the stand-ins sent and received.
  */
 public final class Trial {
     static final String SCHEDULE_FILE = "schedule.json";
     static final String RECORD_FILE = "record.tsv";
-    private static final long LONGEST_START = 15_000_000;
-    /** After the last call is offered: the time in which all must be told that calls are over, and some more. */
-    private static final long TAIL = 9_000_000;
-    private static final long LOOK_EVERY = 50_000;
-    private static final long TICK = 5_000;
-    private static final long LATE = 20_000;
+    private static final long START_TIMEOUT_MICROS = 15_000_000;
+    /** Time after the last call's deadline: that in which callers must be notified of the end of calls, plus slack. */
+    private static final long SETTLE_TIMEOUT_MICROS = 9_000_000;
+    private static final long POLL_INTERVAL_MICROS = 50_000;
+    private static final long LOOP_CHECK_INTERVAL_MICROS = 5_000;
+    private static final long MAX_LOOP_DELAY_MICROS = 20_000;
 
     private final Schedule schedule;
     private final Path folder;
@@ -40,29 +40,37 @@
     private final Judge judge = new Judge(loop, log);
     private final List<SoftswitchHost> softswitches = new ArrayList<>();
     private final List<ExchangeHost> exchanges = new ArrayList<>();
-    private volatile boolean over;
-    /** Guards the machine: where this program is ended from outside, the softswitches do not outlive it. */
-    private final Thread atExit = new Thread(() -> softswitches.forEach(SoftswitchHost::destroy), "trial end");
+    private volatile boolean finished;
+    /** Terminates the softswitches when this program is terminated from outside, so that none is left running. */
+    private final Thread shutdownHook = new Thread(() -> softswitches.forEach(SoftswitchHost::destroy), "trial end");
 
     /**
-     * What a trial came to.
+     * The result of a trial.
      *
-     * @param testbedFaults what failed in the testbed itself; where there is any, the trial shows nothing
+     * @param testbedFaults faults of the test bed itself; if there are any, the trial is invalid
+     * @param offered set-ups that callers offered
+     * @param established set-ups answered as established
+     * @param ended established calls whose callers were notified of the end, or ended them
+     * @param attempts set-ups that arrived at exchanges
+     * @param notChecked attempts that were not checked, as the stand-ins read them late
+     * @param peakMemoryMb highest memory use of any softswitch
+     * @param peakDescriptors highest number of open descriptors of any softswitch
+     * @param excused calls that each excuse was applied to
      */
     public record Result(Schedule schedule, Path folder, List<Breach> breaches, List<String> testbedFaults,
-            long offered, long stood, long refused, long failed, long ended, long attempts, long unjudged,
-            int mostMemoryMb, int mostDescriptors, Map<Excuse, Integer> excused) {
-        /** Whether a rule was broken. */
+            long offered, long established, long refused, long failed, long ended, long attempts, long notChecked,
+            int peakMemoryMb, int peakDescriptors, Map<Excuse, Integer> excused) {
+        /** Whether the softswitches broke a rule. */
         public boolean broken() {
             return !breaches.isEmpty();
         }
     }
 
     /**
-     * A trial that has not begun.
+     * Creates a trial that is not started yet.
      *
-     * @param folder where its files go; it is made
-     * @param build the jars and folders of classes of the softswitches' program; empty for this program
+     * @param folder for the trial's files; created if absent
+     * @param build the jars and class folders of the softswitch program to run; empty for that of this program
      */
     public Trial(Schedule schedule, Path folder, List<Path> build) {
         this.schedule = schedule;
@@ -70,25 +78,25 @@
         this.build = build;
     }
 
-    /** Plays it; takes as long as the schedule says and some 10 s more. */
-    public Result play() throws IOException, InterruptedException {
+    /** Runs the trial, which takes the schedule's time and up to about 10 s more. */
+    public Result run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         schedule.write(folder.resolve(SCHEDULE_FILE));
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             onLoop(this::prepare);
             awaitReady();
             onLoop(() -> {
                 softswitches.forEach(s -> s.callers().begin());
                 new FaultInjector(loop, log, softswitches, exchanges, new SplittableRandom(schedule.seed() + 2))
-                        .plan(schedule.faults());
+                        .schedule(schedule.faults());
                 return null;
             });
             sleep(schedule.seconds() * 1_000_000L);
             finish();
         } finally {
             softswitches.forEach(SoftswitchHost::destroy);
-            over = true;
+            finished = true;
             onLoop(() -> {
                 softswitches.forEach(SoftswitchHost::close);
                 exchanges.forEach(ExchangeHost::close);
@@ -96,27 +104,27 @@
             });
             List<TrialLog.Entry> record = onLoop(log::entries);
             loop.stop();
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             TrialLog.write(record, folder.resolve(RECORD_FILE));
         }
         return result();
     }
 
-    /** Notes when the stand-ins' loop runs late. */
-    private void watchLoop() {
-        long due = loop.now() + TICK;
+    /** Reports delays of the stand-ins' loop to the judge. */
+    private void watchLoopDelay() {
+        long due = loop.now() + LOOP_CHECK_INTERVAL_MICROS;
         loop.at(due, () -> {
-            if (loop.now() > due + LATE) {
+            if (loop.now() > due + MAX_LOOP_DELAY_MICROS) {
                 judge.loopWasLate();
             }
-            if (!over) {
-                watchLoop();
+            if (!finished) {
+                watchLoopDelay();
             }
         });
     }
 
     private Void prepare() {
-        watchLoop();
+        watchLoopDelay();
         SplittableRandom random = new SplittableRandom(schedule.seed());
         try {
             for (int i = 0; i < schedule.deployment().softswitches(); i++) {
@@ -136,25 +144,25 @@
     }
 
     private void awaitReady() throws InterruptedException {
-        long until = loop.now() + LONGEST_START;
+        long until = loop.now() + START_TIMEOUT_MICROS;
         while (!onLoop(() -> softswitches.stream().allMatch(s -> s.callers().ready()))) {
             if (loop.now() > until) {
-                throw new SoakException("a softswitch is not ready after 15 s; see " + folder);
+                throw new SoakException("a softswitch was not ready within 15 s; see its log in " + folder);
             }
             sleep(10_000);
         }
     }
 
-    /** Lets all calls end, and then the processes. */
+    /** Waits until all calls have ended, then shuts the processes down. */
     private void finish() throws IOException, InterruptedException {
         onLoop(() -> {
             softswitches.forEach(s -> s.callers().end());
             return null;
         });
         sleep(schedule.deployment().longestDeadline());
-        long until = loop.now() + TAIL;
-        while (loop.now() < until && onLoop(judge::owed) > 0) {
-            sleep(LOOK_EVERY);
+        long until = loop.now() + SETTLE_TIMEOUT_MICROS;
+        while (loop.now() < until && onLoop(judge::pendingCount) > 0) {
+            sleep(POLL_INTERVAL_MICROS);
         }
         onLoop(() -> {
             judge.close();
@@ -181,7 +189,7 @@
     private Result result() {
         Judge.Counts counts = judge.counts();
         return new Result(schedule, folder, judge.breaches(), List.copyOf(judge.testbedFaults()), counts.offered,
-                counts.stood, counts.refused, counts.failed, counts.ended, counts.attempts, counts.unjudged,
+                counts.established, counts.refused, counts.failed, counts.ended, counts.attempts, counts.notChecked,
                 softswitches.stream().mapToInt(SoftswitchHost::mostMemoryMb).max().orElse(0),
                 softswitches.stream().mapToInt(SoftswitchHost::mostDescriptors).max().orElse(0),
                 new EnumMap<>(judge.excused()));
@@ -191,7 +199,7 @@
         try {
             return CompletableFuture.supplyAsync(task, loop::execute).join();
         } catch (CompletionException e) {
-            throw new SoakException("the trial cannot be prepared: " + e.getCause());
+            throw new SoakException("a step of the trial failed: " + e.getCause());
         }
     }
 
--- a/src/main/java/wingspread/testbed/soak/TrialLog.java
+++ b/src/main/java/wingspread/testbed/soak/TrialLog.java
@@ -8,17 +8,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the stand-ins of one trial have sent and received, in their order. Confined to the trial's loop; bounded, since
- * a flood would fill the memory.
+ * The record of what the stand-ins of one trial sent and received, in order. Confined to the trial's loop. Its size is
+ * bounded, since a flood of messages would exhaust the memory; entries beyond the bound are dropped.
  */
 final class TrialLog {
-    private static final int MOST_ENTRIES = 2_000_000;
+    private static final int MAX_ENTRIES = 2_000_000;
+    /** The call of lines that are about no particular call. */
     static final String NO_CALL = "-";
 
-    /** One line; {@code at} is microseconds since the Unix epoch. */
-    record Entry(long at, String party, String call, String what) {
+    /**
+     * One line of the record.
+     *
+     * @param atMicros microseconds since the Unix epoch
+     * @param party the process or stand-in that the line is about
+     * @param call the id of the call, or {@link #NO_CALL}
+     */
+    record Entry(long atMicros, String party, String call, String event) {
         String text() {
-            return at + "\t" + party + "\t" + call + "\t" + what;
+            return atMicros + "\t" + party + "\t" + call + "\t" + event;
         }
     }
 
@@ -30,36 +37,36 @@
     }
 
     /** Adds a line about a call. */
-    void add(String party, String call, String what) {
-        if (entries.size() < MOST_ENTRIES) {
-            entries.add(new Entry(clock.getAsLong(), party, call, what));
+    void add(String party, String call, String event) {
+        if (entries.size() < MAX_ENTRIES) {
+            entries.add(new Entry(clock.getAsLong(), party, call, event));
         }
     }
 
-    /** Adds a line about no call. */
-    void add(String party, String what) {
-        add(party, NO_CALL, what);
+    /** Adds a line that is about no particular call. */
+    void add(String party, String event) {
+        add(party, NO_CALL, event);
     }
 
-    /** All lines so far. */
+    /** Returns a copy of the lines so far. */
     List<Entry> entries() {
         return List.copyOf(entries);
     }
 
-    /** Writes lines, one each with tabs between time, party, call and event. */
+    /** Writes one line per entry, with time, party, call and event separated by tabs. */
     static void write(List<Entry> entries, Path file) throws IOException {
         Files.write(file, entries.stream().map(Entry::text).toList());
     }
 
-    /** Reads what {@link #write} wrote. */
+    /** Reads a file written by {@link #write}; lines without all four fields are skipped. */
     static List<Entry> read(Path file) throws IOException {
-        List<Entry> out = new ArrayList<>();
+        List<Entry> entries = new ArrayList<>();
         for (String line : Files.readAllLines(file)) {
-            String[] parts = line.split("\t", 4);
-            if (parts.length == 4) {
-                out.add(new Entry(Long.parseLong(parts[0]), parts[1], parts[2], parts[3]));
+            String[] fields = line.split("\t", 4);
+            if (fields.length == 4) {
+                entries.add(new Entry(Long.parseLong(fields[0]), fields[1], fields[2], fields[3]));
             }
         }
-        return out;
+        return entries;
     }
 }
--- a/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
+++ b/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import wingspread.lab.rules.Breach.Rule;
 
-/** The soak bites: a fault planted in the program for each group of troubles is found by one of a few seeds. */
+/**
+ * Verifies that the soak detects faults: for each group of faults, a deliberate fault in the program must be found by
+ * one of a few seeds.
+ */
 class PlantedFaultTest {
     private static final int SECONDS = 5;
     private static final int SEEDS = 2;
@@ -21,26 +24,26 @@
     @TempDir
     Path folder;
 
-    static Stream<Arguments> plants() {
+    static Stream<Arguments> plantedBuilds() {
         return Stream.of(
                 Arguments.of(new PlantedBuild("answers are dropped after SIGTERM", "core/Planner.java",
                         "notification.run();",
                         "if (answerDeadline == Long.MAX_VALUE) {\n            notification.run();\n        }"),
                         Set.of(FaultKind.RESTART), Rule.ONE_ANSWER),
-                Arguments.of(new PlantedBuild("who drains counts as ready", "directory/Roster.java",
+                Arguments.of(new PlantedBuild("a draining exchange counts as ready", "directory/Roster.java",
                         "srv.priority() == 0 ? Readiness.READY : Readiness.DRAINING", "Readiness.READY"),
                         Set.of(FaultKind.DRAIN), Rule.CLEAN_DRAIN),
-                Arguments.of(new PlantedBuild("an id that is open starts a second attempt", "core/Planner.java",
-                        "if (byId.containsKey(request.id())) {", "if (request.id().isEmpty()) {"),
+                Arguments.of(new PlantedBuild("a repeated id of an open call starts a second attempt",
+                        "core/Planner.java", "if (byId.containsKey(request.id())) {", "if (request.id().isEmpty()) {"),
                         Set.of(FaultKind.REPEATED_ID), Rule.ONE_ATTEMPT),
-                Arguments.of(new PlantedBuild("nobody watches silent exchanges", "core/ExchangeMonitor.java",
+                Arguments.of(new PlantedBuild("unresponsive exchanges are not monitored", "core/ExchangeMonitor.java",
                         "if (!exchanges.needsLivenessChecks()) {", "if (shuttingDown || !shuttingDown) {"),
                         Set.of(FaultKind.VANISH), Rule.RELEASE_TOLD),
-                Arguments.of(new PlantedBuild("the first piece of a message is lost", "net/MessageHandler.java",
+                Arguments.of(new PlantedBuild("the first segment of a message is lost", "net/MessageHandler.java",
                         "scheduleIncompleteMessageCheck(ctx);\n                    return;",
                         "readIndex = writeIndex;\n                    return;"),
                         Set.of(FaultKind.SLOW_WRITER), Rule.ONE_ANSWER),
-                Arguments.of(new PlantedBuild("descriptors of connections that say nothing leak", "net/Admission.java",
+                Arguments.of(new PlantedBuild("descriptors of idle connections leak", "net/Admission.java",
                         "boolean hasCapacity = awaitingFirstMessage.size() + active.size() < maxConnections.getAsInt()"
                                 + " || evictOne();",
                         "boolean hasCapacity = true;"),
@@ -48,8 +51,8 @@
     }
 
     @ParameterizedTest
-    @MethodSource("plants")
-    void aPlantedFaultIsFound(PlantedBuild planted, Set<FaultKind> only, Rule rule)
+    @MethodSource("plantedBuilds")
+    void findsPlantedFault(PlantedBuild planted, Set<FaultKind> only, Rule rule)
             throws IOException, InterruptedException {
         List<Path> build = planted.compile(folder);
         Soak soak = new Soak(new Soak.Plan(1, SEEDS, SECONDS, only, SEEDS, 0, build), folder.resolve("trials"),
--- a/src/test/java/wingspread/testbed/soak/SoakTest.java
+++ b/src/test/java/wingspread/testbed/soak/SoakTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wingspread.testbed.soak.Schedule.PlannedFault;
 
-/** The short soak of CI, and what its schedules, reports and shrinking hold. */
+/** Runs the short soak of CI, and tests the generation, parsing and shrinking of schedules. */
 class SoakTest {
     private static final int SECONDS = 8;
     private static final int SEEDS = 6;
@@ -27,57 +27,58 @@
     Path folder;
 
     @Test
-    void noRuleIsBrokenByTheSeedsOfCi() throws Exception {
+    void shortSoakBreaksNoRule() throws Exception {
         Soak soak = new Soak(new Soak.Plan(1, SEEDS, SECONDS, Set.of(), 2, 0, List.of()), folder, outcome -> { });
         List<Soak.Outcome> outcomes = soak.play();
         String report = new SoakReport(outcomes, SECONDS, Duration.ofMinutes(1), Duration.ZERO).text();
         assertEquals(List.of(), outcomes.stream().filter(Soak.Outcome::bad).map(SoakReport::describe).toList());
-        assertTrue(outcomes.stream().mapToLong(o -> o.result().stood()).sum() > 200, report);
+        assertTrue(outcomes.stream().mapToLong(o -> o.result().established()).sum() > 200, report);
         assertTrue(report.contains("| trials that broke no rule | " + SEEDS + " |"), report);
     }
 
     @Test
-    void aSeedDrawsTheSameScheduleAndSeedsTogetherDrawEveryFault() throws Exception {
-        Schedule one = ScheduleDraw.draw(7, 12, Set.of());
-        assertEquals(one, ScheduleDraw.draw(7, 12, Set.of()));
-        assertNotEquals(one.deployment(), ScheduleDraw.draw(8, 12, Set.of()).deployment());
+    void generatesSameScheduleForSameSeedAndEveryFaultOverManySeeds() throws Exception {
+        Schedule original = ScheduleGenerator.generate(7, 12, Set.of());
+        assertEquals(original, ScheduleGenerator.generate(7, 12, Set.of()));
+        assertNotEquals(original.deployment(), ScheduleGenerator.generate(8, 12, Set.of()).deployment());
         Path file = folder.resolve("schedule.json");
-        one.write(file);
-        assertEquals(one, Schedule.read(file));
+        original.write(file);
+        assertEquals(original, Schedule.read(file));
         assertEquals(EnumSet.allOf(FaultKind.class), LongStream.range(0, 200)
-                .mapToObj(seed -> ScheduleDraw.draw(seed, 12, Set.of())).flatMap(s -> s.faults().stream())
+                .mapToObj(seed -> ScheduleGenerator.generate(seed, 12, Set.of())).flatMap(s -> s.faults().stream())
                 .map(PlannedFault::kind).collect(Collectors.toCollection(() -> EnumSet.noneOf(FaultKind.class))));
-        assertTrue(ScheduleDraw.draw(9, 12, Set.of(FaultKind.HANG)).faults().stream()
+        assertTrue(ScheduleGenerator.generate(9, 12, Set.of(FaultKind.HANG)).faults().stream()
                 .allMatch(fault -> fault.kind() == FaultKind.HANG));
     }
 
     @Test
-    void aScheduleThatCannotBePlayedIsTurnedAwayInOneLine() throws Exception {
+    void rejectsInvalidScheduleWithOneLineMessage() throws Exception {
         Path file = folder.resolve("bad.json");
-        ScheduleDraw.draw(7, 12, Set.of()).write(file);
-        String good = Files.readString(file);
-        for (String bad : List.of("{", "[]", "{\"seed\":1}", good.replace("\"seconds\" : 12", "\"seconds\" : 0"),
-                good.replaceFirst("\"target\" : \\d+", "\"target\" : 999999"),
-                good.replaceFirst("\"kind\" : \"\\w+\"", "\"kind\" : \"FLOOD\""),
-                good.replaceFirst("\"zones\"", "\"zone\""))) {
-            Files.writeString(file, bad);
-            SoakException e = assertThrows(SoakException.class, () -> Schedule.read(file), bad);
+        ScheduleGenerator.generate(7, 12, Set.of()).write(file);
+        String valid = Files.readString(file);
+        for (String invalid : List.of("{", "[]", "{\"seed\":1}",
+                valid.replace("\"seconds\" : 12", "\"seconds\" : 0"),
+                valid.replaceFirst("\"target\" : \\d+", "\"target\" : 999999"),
+                valid.replaceFirst("\"kind\" : \"\\w+\"", "\"kind\" : \"FLOOD\""),
+                valid.replaceFirst("\"zones\"", "\"zone\""))) {
+            Files.writeString(file, invalid);
+            SoakException e = assertThrows(SoakException.class, () -> Schedule.read(file), invalid);
             assertTrue(!e.getMessage().isEmpty() && !e.getMessage().contains("\n"), e.getMessage());
         }
     }
 
     @Test
-    void shrinkingLeavesTheFaultsThatBreakTheRuleTogether() throws Exception {
-        Schedule drawn = ScheduleDraw.draw(7, 12, Set.of());
+    void shrinkerKeepsOnlyTheFaultsThatTogetherBreakTheRule() throws Exception {
+        Schedule original = ScheduleGenerator.generate(7, 12, Set.of());
         List<PlannedFault> faults = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             faults.add(new PlannedFault(FaultKind.RESET, 0, 1_000 + i, 0, 0));
         }
         Set<PlannedFault> culprits = Set.of(faults.get(2), faults.get(7));
         Shrinker shrinker = new Shrinker(schedule -> schedule.faults().containsAll(culprits), 100);
-        assertEquals(culprits, Set.copyOf(shrinker.shrink(drawn.withFaults(faults)).faults()));
-        Shrinker impatient = new Shrinker(schedule -> true, 1);
-        impatient.shrink(drawn.withFaults(faults));
-        assertEquals(1, impatient.trials());
+        assertEquals(culprits, Set.copyOf(shrinker.shrink(original.withFaults(faults)).faults()));
+        Shrinker singleTrial = new Shrinker(schedule -> true, 1);
+        singleTrial.shrink(original.withFaults(faults));
+        assertEquals(1, singleTrial.trials());
     }
 }
