--- a/src/test/java/wingspread/directory/DirectoryDelayTest.java
+++ b/src/test/java/wingspread/directory/DirectoryDelayTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import wingspread.control.CallControl.Readiness;
 import wingspread.testbed.NameServer;
-import wingspread.testbed.NameServer.Named;
+import wingspread.testbed.NameServer.ListedExchange;
 import wingspread.turn.Deadlines;
 
 /**
@@ -43,7 +43,7 @@
         final Shape shape;
         final long latency;
         final Map<String, Long> reportedAt = new HashMap<>();
-        final List<Named> list = new ArrayList<>();
+        final List<ListedExchange> list = new ArrayList<>();
         final DirectoryClient client;
         Outage outage;
         int serial = 1;
@@ -54,7 +54,7 @@
             random = new SplittableRandom(seed);
             latency = random.nextInt(300_000);
             for (int i = 0; i < exchanges; i++) {
-                list.add(new Named("s-" + i, "z", i, 5_000 + i, Readiness.READY, 0));
+                list.add(new ListedExchange("s-" + i, "z", i, 5_000 + i, Readiness.READY, 0));
             }
             client = new DirectoryClient(new Roster(List.of("z"), List.of("std")), random.split(), this,
                     (kind, listings) -> listings.forEach(listing -> reportedAt.putIfAbsent(
@@ -118,7 +118,7 @@
             if (queriedName.contains("_back")) {
                 u16(out, 0x8400, 1, list.size(), 1, 0);
                 out.write(query, 12, query.length - 12);
-                for (Named entry : list) {
+                for (ListedExchange entry : list) {
                     byte[] target = target(entry);
                     u16(out, 0xc00c, 33, 1, 0, 0, 6 + target.length, entry.readiness() == Readiness.READY ? 0 : 1, 10,
                             entry.port());
@@ -136,7 +136,7 @@
             return out.toByteArray();
         }
 
-        private static byte[] target(Named entry) {
+        private static byte[] target(ListedExchange entry) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             for (String label : List.of(entry.uid(), entry.zone(), "hosts")) {
                 out.write(label.length());
@@ -168,9 +168,9 @@
         simulation.outage = outage;
         simulation.events.add(reachableAt, () -> simulation.outage = null);
         simulation.events.add(changedAt, () -> {
-            Named entry = simulation.list.get(0);
+            ListedExchange entry = simulation.list.get(0);
             simulation.list.set(0,
-                    new Named(entry.uid(), entry.zone(), entry.place(), entry.port(), Readiness.DRAINING, 0));
+                    new ListedExchange(entry.uid(), entry.zone(), entry.place(), entry.port(), Readiness.DRAINING, 0));
             simulation.serial++;
         });
         long deadline = Math.max(changedAt, reachableAt) + MAX_DELAY_MICROS;
--- a/src/test/java/wingspread/directory/DirectoryTest.java
+++ b/src/test/java/wingspread/directory/DirectoryTest.java
@@ -278,7 +278,7 @@
 
     @Property(tries = 2000, seed = "31")
     boolean parsesOrRejectsCorruptedMessage(@ForAll long seed) {
-        return Fuzz.takesOrTurnsAway(DnsMessage::parse, Fuzz.spoil(response(99, 0, 9, true), seed));
+        return Fuzz.parsesOrRejects(DnsMessage::parse, Fuzz.mutate(response(99, 0, 9, true), seed));
     }
 
     @Property(tries = 200, seed = "32")
--- a/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
+++ b/src/test/java/wingspread/front/sip/LossyLoopbackTest.java
@@ -22,7 +22,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wingspread.control.ControlParameters;
 import wingspread.control.CallControl.Exchange;
 import wingspread.control.CallControl.Layout;
 import wingspread.control.CallControl.ListKind;
@@ -31,13 +30,14 @@
 import wingspread.control.CallControl.Report;
 import wingspread.control.CallControl.Reports;
 import wingspread.control.CallControl.Settings;
+import wingspread.control.ControlParameters;
 import wingspread.core.Attempt;
 import wingspread.core.Event;
 import wingspread.core.ExchangeTransport;
 import wingspread.core.Planner;
+import wingspread.metrics.Metrics;
 import wingspread.net.InvalidInputException;
 import wingspread.net.Loop;
-import wingspread.metrics.Metrics;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
 import wingspread.sip.Timers;
@@ -98,7 +98,7 @@
         final Set<Integer> finalStatuses = new HashSet<>();
         final Set<String> tags = new HashSet<>();
         long nextSendAt = clock.get();
-        long interval = Timers.T1;
+        long interval = Timers.T1_MICROS;
         boolean responseReceived;
         boolean cancelled;
         boolean byeDone;
@@ -123,7 +123,7 @@
                 return;
             }
             nextSendAt = clock.get() + interval;
-            interval = Math.min(2 * interval, Timers.T2);
+            interval = Math.min(2 * interval, Timers.T2_MICROS);
             if (finalStatuses.isEmpty() && !responseReceived) {
                 toFront(message("INVITE", "i", 1));
             } else if (finalStatuses.isEmpty() && cancels) {
@@ -141,7 +141,7 @@
                 if (!responseReceived) {
                     responseReceived = true;
                     nextSendAt = clock.get() + (cancels ? random.nextLong(900_000) : 0);
-                    interval = Timers.T1;
+                    interval = Timers.T1_MICROS;
                 }
                 if (response.status() >= 200) {
                     toHeader = response.header("To");
@@ -187,7 +187,7 @@
                 if (datagram.towardFront()) {
                     socket.send(ByteBuffer.wrap(datagram.bytes()), frontAddress);
                 } else {
-                    SipMessage message = SipDecoder.datagram(datagram.bytes());
+                    SipMessage message = SipDecoder.decodeDatagram(datagram.bytes());
                     if (!message.isRequest()) {
                         callers.get(message.callId()).receive(message);
                     }
--- a/src/test/java/wingspread/front/sip/SipFrontTest.java
+++ b/src/test/java/wingspread/front/sip/SipFrontTest.java
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public Peer toward(String contact) {
+        public Peer forContact(String contact) {
             return this;
         }
     };
--- a/src/test/java/wingspread/json/LineDecoderTest.java
+++ b/src/test/java/wingspread/json/LineDecoderTest.java
@@ -24,7 +24,7 @@
 
     @Property(tries = 300, seed = "21")
     void decodesStreamCutAtAnyPosition(@ForAll long seed) throws InvalidInputException {
-        List<Map<?, ?>> messages = Fuzz.cut(decoder, bytes(OFFER + OFFER), seed);
+        List<Map<?, ?>> messages = Fuzz.decodeInChunks(decoder, bytes(OFFER + OFFER), seed);
         assertEquals(2, messages.size());
         assertEquals(messages.get(0), messages.get(1));
         assertEquals("\u00c3\u00a9\u00f0\u009f\u0098\u0080\r\n\"\\/ \u00c3", messages.get(0).get("desc"));
@@ -33,7 +33,7 @@
 
     @Property(tries = 2000, seed = "22")
     boolean decodesOrRejectsCorruptedLine(@ForAll long seed) {
-        return Fuzz.takesOrTurnsAway(line -> decoder.next(line, 0, line.length), Fuzz.spoil(bytes(OFFER), seed));
+        return Fuzz.parsesOrRejects(line -> decoder.next(line, 0, line.length), Fuzz.mutate(bytes(OFFER), seed));
     }
 
     @Property(tries = 300, seed = "23")
--- a/src/test/java/wingspread/lab/ModelTest.java
+++ b/src/test/java/wingspread/lab/ModelTest.java
@@ -37,7 +37,7 @@
 
 /** Tests the model against analytical results, for reproducibility, and with softswitches that break the rules. */
 class ModelTest {
-    private static final Controller.Maker PLANNER = PlannerController.with(ControlParameters.DEFAULTS);
+    private static final Controller.Factory PLANNER = PlannerController.factory(ControlParameters.DEFAULTS);
     /** One pair of exchanges where only the circuits are a bottleneck. */
     private static final String ONE_GROUP = """
             length = "2000s"
@@ -57,9 +57,9 @@
             holding = "10s"
             """;
 
-    private static Model.Run play(Scenario scenario, Controller.Maker maker, long seed) {
+    private static Model.Run play(Scenario scenario, Controller.Factory maker, long seed) {
         Streams streams = new Streams(seed, 0);
-        return new Model(scenario.day(streams), streams, streams, new LocalSoftswitches(maker)).play();
+        return new Model(scenario.day(streams), streams, streams, new LocalSoftswitches(maker)).run();
     }
 
     private static Set<Rule> brokenRules(Defect defect, String scenario) {
@@ -101,8 +101,8 @@
         try (Experiment experiment = new Experiment(Scenario.named("surge-slow-late"), 5, threads);
                 SoftswitchPool pool = SoftswitchPool.local(PLANNER)) {
             return new ObjectMapper().writeValueAsBytes(
-                    experiment.each(0, 8,
-                            n -> pool.with(softswitches -> experiment.play(n, softswitches, 0))));
+                    experiment.mapInParallel(0, 8,
+                            n -> pool.with(softswitches -> experiment.runReplication(n, softswitches, 0))));
         }
     }
 
@@ -195,7 +195,7 @@
         for (long seed = 0; seed < 3; seed++) {
             assertEquals(List.of(), play(Scenario.named(name), PLANNER, seed).breaches());
             assertEquals(List.of(), play(Scenario.named(name).with("callers.redials = 3"),
-                    PlannerController.with(ControlParameters.DEFAULTS, StormParameters.DEFAULTS), seed).breaches());
+                    PlannerController.factory(ControlParameters.DEFAULTS, StormParameters.DEFAULTS), seed).breaches());
         }
     }
 
@@ -204,7 +204,7 @@
         Scenario scenario = Scenario.parse(toml, "drawn");
         Streams streams = new Streams(seed, 0);
         Model model = new Model(scenario.day(streams), streams, streams, new LocalSoftswitches(PLANNER));
-        Model.Run run = model.play();
+        Model.Run run = model.run();
         assertEquals(List.of(), run.breaches(), toml);
         Service service = run.service();
         long ended = service.classes().stream().mapToLong(c -> c.inAim() + c.late() + c.cut()).sum();
--- a/src/test/java/wingspread/lab/StubController.java
+++ b/src/test/java/wingspread/lab/StubController.java
@@ -45,7 +45,7 @@
         this.defect = defect;
     }
 
-    static Maker with(Defect defect) {
+    static Factory with(Defect defect) {
         return (clock, settings, seed, exchanges) -> new StubController(clock, settings, exchanges, defect);
     }
 
--- a/src/test/java/wingspread/lab/compare/CompareTest.java
+++ b/src/test/java/wingspread/lab/compare/CompareTest.java
@@ -24,7 +24,7 @@
 class CompareTest {
     private static Variant planner(String setting, int family) {
         return new Variant(setting,
-                SoftswitchPool.local(PlannerController.with(Setting.named(setting).figures())), family);
+                SoftswitchPool.local(PlannerController.factory(Setting.named(setting).parameters())), family);
     }
 
     private static Comparison compare(Variant a, Variant b, int budget, double width) {
@@ -145,14 +145,14 @@
 
     @Test
     void convertsTimesToMicroseconds() {
-        ControlParameters figures = Setting.named("silent-gap=250ms,silent-gap-max=3s,tandems=1").figures();
-        assertEquals(250_000, value(figures, "silent-gap"));
-        assertEquals(3_000_000, value(figures, "silent-gap-max"));
-        assertEquals(1, value(figures, "tandems"));
+        ControlParameters parameters = Setting.named("silent-gap=250ms,silent-gap-max=3s,tandems=1").parameters();
+        assertEquals(250_000, value(parameters, "silent-gap"));
+        assertEquals(3_000_000, value(parameters, "silent-gap-max"));
+        assertEquals(1, value(parameters, "tandems"));
     }
 
-    private static double value(ControlParameters figures, String name) {
-        return figures.all().stream().filter(f -> f.name().equals(name)).findFirst().orElseThrow().value();
+    private static double value(ControlParameters parameters, String name) {
+        return parameters.all().stream().filter(f -> f.name().equals(name)).findFirst().orElseThrow().value();
     }
 
     @Test
--- a/src/test/java/wingspread/lab/compare/OutageTest.java
+++ b/src/test/java/wingspread/lab/compare/OutageTest.java
@@ -32,22 +32,22 @@
     @Test
     void recoversWhenRedialsStayWithinToleranceOfBaseline() {
         // The surplus of 64 halves every second and reaches a tenth of the baseline of 40 in the fourth second.
-        Outage.Back back = new Outage(FAULT_END_SECOND, 1).back(days(40, 0, 0, 1), days(40, 64, 0, 2), 3);
-        assertEquals(new Outage.Back(4, 4, 4), back);
+        Outage.Recovery recovery = new Outage(FAULT_END_SECOND, 1).recovery(days(40, 0, 0, 1), days(40, 64, 0, 2), 3);
+        assertEquals(new Outage.Recovery(4, 4, 4), recovery);
     }
 
     @Test
     void intervalContainsEstimateAndWidensWithNoise() {
-        Outage.Back back = new Outage(FAULT_END_SECOND, 100)
-                .back(days(40, 0, 20, 1), days(40, 64, 60, 2), 3);
-        assertTrue(back.low() <= back.seconds() && back.seconds() <= back.high(), back.toString());
-        assertTrue(back.high() > back.low(), back.toString());
+        Outage.Recovery recovery = new Outage(FAULT_END_SECOND, 100)
+                .recovery(days(40, 0, 20, 1), days(40, 64, 60, 2), 3);
+        assertTrue(recovery.low() <= recovery.seconds() && recovery.seconds() <= recovery.high(), recovery.toString());
+        assertTrue(recovery.high() > recovery.low(), recovery.toString());
     }
 
     @Test
     void reportsInfinityWithoutRecovery() {
-        Outage.Back back = new Outage(FAULT_END_SECOND, 1).back(days(10, 0, 0, 1), days(20, 0, 0, 2), 3);
-        assertEquals(Double.POSITIVE_INFINITY, back.seconds());
+        Outage.Recovery recovery = new Outage(FAULT_END_SECOND, 1).recovery(days(10, 0, 0, 1), days(20, 0, 0, 2), 3);
+        assertEquals(Double.POSITIVE_INFINITY, recovery.seconds());
     }
 
     @Test
@@ -57,6 +57,6 @@
             day[FAULT_END_SECOND] = 50;
             day[FAULT_END_SECOND + 2] = 50;
         });
-        assertEquals(3, new Outage(FAULT_END_SECOND, 1).back(days(10, 0, 0, 1), faulted, 3).seconds());
+        assertEquals(3, new Outage(FAULT_END_SECOND, 1).recovery(days(10, 0, 0, 1), faulted, 3).seconds());
     }
 }
--- a/src/test/java/wingspread/lab/host/HostTest.java
+++ b/src/test/java/wingspread/lab/host/HostTest.java
@@ -34,11 +34,11 @@
         Streams streams = new Streams(8, 0);
         Scenario scenario = Scenario.named("crash-and-return").with("length = '25s'");
         return new ObjectMapper().writeValueAsBytes(
-                new Model(scenario.day(streams), streams, streams, softswitches).play());
+                new Model(scenario.day(streams), streams, streams, softswitches).run());
     }
 
     private static HostLoop host() {
-        return new HostLoop("test", parameters -> new LocalSoftswitches(PlannerController.with(parameters)));
+        return new HostLoop("test", parameters -> new LocalSoftswitches(PlannerController.factory(parameters)));
     }
 
     private static RemoteSoftswitches connectOverPipes(ControlParameters parameters) throws IOException {
@@ -78,7 +78,7 @@
     @Test
     void remoteSoftswitchesBehaveLikeLocalOnes() throws IOException {
         try (RemoteSoftswitches remote = connectOverPipes(ControlParameters.DEFAULTS)) {
-            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(ControlParameters.DEFAULTS))),
+            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.factory(ControlParameters.DEFAULTS))),
                     runModel(remote));
         }
     }
@@ -87,7 +87,7 @@
     void sendsParametersToHost() throws IOException {
         ControlParameters smallWindow = new ControlParameters(Map.of("window-max", 2.0, "window-gain", 0.0));
         try (RemoteSoftswitches remote = connectOverPipes(smallWindow)) {
-            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.with(smallWindow))),
+            assertArrayEquals(runModel(new LocalSoftswitches(PlannerController.factory(smallWindow))),
                     runModel(remote));
         }
     }
@@ -174,8 +174,8 @@
     void malformedCommandsAreServedOrFailWithIoException(@ForAll long seed) throws IOException {
         byte[] valid = bytes(new Wire.Begin(0, Map.of(), List.of()),
                 new Wire.Turn(1, List.of(
-                        new Softswitches.Input(0, List.of(new Happening.CallerAbandoned("00"))))));
-        assertTrue(servesOrFailsWithMessage(Fuzz.spoil(valid, seed)));
+                        new Softswitches.Input(0, List.of(new SoftswitchEvent.CallerAbandoned("00"))))));
+        assertTrue(servesOrFailsWithMessage(Fuzz.mutate(valid, seed)));
     }
 
     private static boolean servesOrFailsWithMessage(byte[] commands) {
--- a/src/test/java/wingspread/lab/scenario/ScenarioTest.java
+++ b/src/test/java/wingspread/lab/scenario/ScenarioTest.java
@@ -95,7 +95,7 @@
     void parsesCorruptFileOrRejectsItInOneLine(@ForAll long seed) {
         byte[] valid = "load.level = 1.1\n[[trouble]]\nkind = 'crash'\nat = '1s'\nfor = '2s'\nexchanges = 1\n"
                 .getBytes(StandardCharsets.ISO_8859_1);
-        String corrupt = new String(Fuzz.spoil(valid, seed), StandardCharsets.ISO_8859_1);
+        String corrupt = new String(Fuzz.mutate(valid, seed), StandardCharsets.ISO_8859_1);
         try {
             Scenario.parse(corrupt, "x.toml");
         } catch (TomlException e) {
--- a/src/test/java/wingspread/link/LinksTest.java
+++ b/src/test/java/wingspread/link/LinksTest.java
@@ -27,8 +27,8 @@
 import wingspread.core.AttemptFixture;
 import wingspread.core.Event;
 import wingspread.directory.DirectoryEntry;
-import wingspread.net.Loop;
 import wingspread.metrics.Metrics;
+import wingspread.net.Loop;
 import wingspread.sip.SipDecoder;
 import wingspread.sip.SipMessage;
 import wingspread.storm.ReconnectParameters;
@@ -104,7 +104,7 @@
             try (Wire<SipMessage> replacement = accept()) {
                 invite("b");
                 assertEquals("b", replacement.next().callId());
-                assertTrue(unresponsive.closed());
+                assertTrue(unresponsive.awaitClose());
             }
         }
     }
@@ -195,7 +195,7 @@
             loop.execute(() -> links.invite(attempt));
             try (Wire<SipMessage> second = new Wire<>(other.accept(), new SipDecoder())) {
                 assertEquals("b", second.next().callId());
-                assertTrue(first.closed());
+                assertTrue(first.awaitClose());
                 assertEquals(1, runInLoop(links::openCount));
                 // A link with an unanswered set-up is not evicted: the next set-up fails immediately.
                 Attempt failed = invite("c");
@@ -256,7 +256,7 @@
         first.send(SipMessage.response(200, "OK").with("Call-ID", "a").with("CSeq", "1 BYE").encode());
         assertEquals(new Event.ExchangeAlive(1), nextEvent());
         assertTrue(runInLoop(() -> links.checkLiveness(1)));
-        assertTrue(first.closed());
+        assertTrue(first.awaitClose());
         accept().close();
         assertFalse(runInLoop(() -> links.checkLiveness(2)));
         second.close();
@@ -292,7 +292,7 @@
     void closesConnectionsToRemovedExchange() throws Exception {
         try (Wire<SipMessage> connection = accept()) {
             updateDirectory(Readiness.GONE);
-            assertTrue(connection.closed());
+            assertTrue(connection.awaitClose());
             Attempt attempt = invite("a");
             assertEquals(new Event.AttemptAborted(attempt, Status.CONNECT_FAILED), nextEvent());
         }
--- a/src/test/java/wingspread/record/RecordTest.java
+++ b/src/test/java/wingspread/record/RecordTest.java
@@ -25,7 +25,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import wingspread.config.Switch;
+import wingspread.config.FeatureToggle;
 import wingspread.core.Request;
 import wingspread.lab.scenario.RecordedTraffic;
 import wingspread.lab.scenario.Scenario;
@@ -92,7 +92,7 @@
                 // The compressor's checksum may be cut off although all calls were read.
                 assertTrue(found.fault() != null ? found.fault().contains("after " + maxCalls + " calls")
                         : maxCalls == calls.size());
-            } catch (Recording.NoRecordingException e) {
+            } catch (Recording.InvalidRecordingException e) {
                 assertEquals(0, maxCalls, "the header could be read from a shorter piece");
                 assertTrue(e.getMessage().startsWith("x: "), e.getMessage());
             }
@@ -102,11 +102,11 @@
 
     @Property(tries = 500, seed = "62")
     void readsCorruptRecordingPartiallyOrRejectsIt(@ForAll long seed) throws IOException {
-        byte[] corrupt = Fuzz.spoil(encode(calls(6, 20), MAX_BYTES), seed);
+        byte[] corrupt = Fuzz.mutate(encode(calls(6, 20), MAX_BYTES), seed);
         try {
             Recording found = read(corrupt);
             assertTrue(found.calls().size() <= 20 || found.fault() != null);
-        } catch (Recording.NoRecordingException e) {
+        } catch (Recording.InvalidRecordingException e) {
             assertTrue(e.getMessage().indexOf('\n') < 0, e.getMessage());
         }
     }
@@ -136,7 +136,7 @@
         try (OutputStream zip = new GZIPOutputStream(out)) {
             TrafficFormat.mapper().writeValue(zip, new TrafficFormat.Header(TrafficFormat.NAME, 9, 0, 0, 2, CLASSES));
         }
-        String message = assertThrows(Recording.NoRecordingException.class,
+        String message = assertThrows(Recording.InvalidRecordingException.class,
                 () -> read(out.toByteArray())).getMessage();
         assertEquals("x: recording has version 9; 1 was expected", message);
     }
@@ -221,13 +221,13 @@
 
     @Test
     void recordsWhenEnabledInDeployFile(@TempDir Path folder) throws IOException {
-        assertFalse(Switch.mayBeOn(Path.of("deploy/record.toml")));
+        assertFalse(FeatureToggle.mayBeEnabled(Path.of("deploy/record.toml")));
         assertNull(RecordConfig.read(Path.of("deploy/record.toml")));
         Path config = folder.resolve("record.toml");
         String on = Files.readString(Path.of("deploy/record.toml")).replace("enabled = false", "enabled = true")
                 .replace("file = \"traffic\"", "file = \"" + folder.resolve("traffic") + "\"");
         Files.writeString(config, on);
-        assertTrue(Switch.mayBeOn(config));
+        assertTrue(FeatureToggle.mayBeEnabled(config));
         try (Recorder recorder = RecordConfig.read(config).start(1_000_000, 4, 7, CLASSES)) {
             recorder.offered(1_500_000, request("ab"));
         }
--- a/src/test/java/wingspread/sip/SipDecoderTest.java
+++ b/src/test/java/wingspread/sip/SipDecoderTest.java
@@ -38,7 +38,7 @@
         stream[INVITE.length] = '\r';
         stream[INVITE.length + 1] = '\n';
         System.arraycopy(RESPONSE, 0, stream, INVITE.length + 2, RESPONSE.length);
-        List<SipMessage> read = Fuzz.cut(decoder, stream, seed);
+        List<SipMessage> read = Fuzz.decodeInChunks(decoder, stream, seed);
         assertEquals(2, read.size());
         assertArrayEquals(BODY, read.get(0).body());
         assertEquals("9b1f", read.get(0).callId());
@@ -49,9 +49,9 @@
 
     @Property(tries = 2000, seed = "12")
     boolean decodesOrRejectsCorruptInput(@ForAll long seed) {
-        byte[] corrupt = Fuzz.spoil(seed % 2 == 0 ? INVITE : RESPONSE, seed);
-        return Fuzz.takesOrTurnsAway(b -> decoder.next(b, 0, b.length), corrupt)
-                && Fuzz.takesOrTurnsAway(SipDecoder::datagram, corrupt);
+        byte[] corrupt = Fuzz.mutate(seed % 2 == 0 ? INVITE : RESPONSE, seed);
+        return Fuzz.parsesOrRejects(b -> decoder.next(b, 0, b.length), corrupt)
+                && Fuzz.parsesOrRejects(SipDecoder::decodeDatagram, corrupt);
     }
 
     @Test
@@ -62,7 +62,7 @@
             assertThrows(InvalidInputException.class, () -> decoder.next(message, 0, message.length), length);
         }
         byte[] datagram = bytes("BYE sip:a@b SIP/2.0\r\nContent-Length: 3\r\n\r\nab");
-        assertThrows(InvalidInputException.class, () -> SipDecoder.datagram(datagram));
+        assertThrows(InvalidInputException.class, () -> SipDecoder.decodeDatagram(datagram));
     }
 
     @Test
--- a/src/test/java/wingspread/testbed/NameServerTest.java
+++ b/src/test/java/wingspread/testbed/NameServerTest.java
@@ -10,14 +10,14 @@
 import wingspread.control.CallControl.Readiness;
 import wingspread.directory.DnsMessage;
 import wingspread.net.InvalidInputException;
-import wingspread.testbed.NameServer.Named;
+import wingspread.testbed.NameServer.ListedExchange;
 
 class NameServerTest {
     @Test
     void answerIsParsedByDnsMessage() throws InvalidInputException {
         byte[] answer = NameServer.answer(DnsMessage.query(77, "_back._tcp.pool.lan", 33), 70_000, List.of(
-                new Named("x1", "z0", 4, 5_000, Readiness.READY, 0),
-                new Named("x2", "z1", 5, 5_001, Readiness.DRAINING, 1_700_000_000_123L)), 8_000);
+                new ListedExchange("x1", "z0", 4, 5_000, Readiness.READY, 0),
+                new ListedExchange("x2", "z1", 5, 5_001, Readiness.DRAINING, 1_700_000_000_123L)), 8_000);
         DnsMessage message = DnsMessage.parse(answer);
         assertEquals(77, message.id());
         List<DnsMessage.Record> records = message.records();
@@ -31,8 +31,8 @@
 
     @Test
     void truncatesLongListAfterLastExchangeThatFits() throws InvalidInputException {
-        List<Named> list = IntStream.range(0, 400)
-                .mapToObj(i -> new Named("x" + i, "z0", i, 5_000 + i, Readiness.READY, 0)).toList();
+        List<ListedExchange> list = IntStream.range(0, 400)
+                .mapToObj(i -> new ListedExchange("x" + i, "z0", i, 5_000 + i, Readiness.READY, 0)).toList();
         byte[] question = DnsMessage.query(77, "_back._tcp.pool.lan", 33);
         byte[] truncatedAnswer = NameServer.answer(question, 3, list, 8_000);
         assertTrue(truncatedAnswer.length <= 8_000 && truncatedAnswer.length > 7_500,
--- a/src/test/java/wingspread/testbed/TestbedTest.java
+++ b/src/test/java/wingspread/testbed/TestbedTest.java
@@ -17,7 +17,7 @@
 import wingspread.lab.rules.Breach;
 import wingspread.lab.scenario.Scenario;
 import wingspread.testbed.SocketSoftswitches.Fault;
-import wingspread.testbed.SocketSoftswitches.Kind;
+import wingspread.testbed.SocketSoftswitches.FaultKind;
 import wingspread.toml.TomlException;
 
 /** Outages with real softswitch processes, which reach the model's exchanges and callers over sockets. */
@@ -89,7 +89,7 @@
     @Test
     void keepsRulesWhenSoftswitchIsKilledWithFiveHundredConnections() throws IOException {
         Testbed.Result result = new Testbed(scenario("callers = {redials = 2.9}\n"), 2, folder, enabledStormToml(), 500,
-                List.of(new Fault(Kind.KILL, 0, 3_000_000))).play();
+                List.of(new Fault(FaultKind.KILL, 0, 3_000_000))).play();
         assertNoBreachAndAllCallsEnded(result);
         // A connection that the kernel resets while the restarted process comes up is opened a second time.
         assertTrue(result.reconnects() >= 500 && result.reconnects() < 550, result.reconnects() + " reconnects");
@@ -102,8 +102,8 @@
     @Test
     void keepsRulesWhenConnectionsAreResetAndCallersPauseReading() throws IOException {
         Testbed.Result result = new Testbed(scenario("callers = {redials = 2.9}\n"), 3, folder, null, 4,
-                List.of(new Fault(Kind.RESET, 0, 2_000_000), new Fault(Kind.RESET, 1, 2_500_000),
-                        new Fault(Kind.STALL, 2, 3_000_000))).play();
+                List.of(new Fault(FaultKind.RESET, 0, 2_000_000), new Fault(FaultKind.RESET, 1, 2_500_000),
+                        new Fault(FaultKind.STALL, 2, 3_000_000))).play();
         assertEquals(List.of(), result.run().breaches().stream()
                 // A caller that does not read receives its answer late, which is not a fault of the softswitch.
                 .filter(breach -> breach.rule() != Breach.Rule.ONE_ANSWER || breach.place() != 2).toList());
@@ -120,6 +120,6 @@
     void rejectsTooLargeFleetAndFaultAtUnknownPlace() {
         assertThrows(TomlException.class, () -> Scenario.named("large").with("fleet.exchanges = 1025"));
         assertThrows(HostException.class,
-                () -> new Testbed(scenario(""), 1, folder, null, 1, List.of(new Fault(Kind.RESET, 3, 0))));
+                () -> new Testbed(scenario(""), 1, folder, null, 1, List.of(new Fault(FaultKind.RESET, 3, 0))));
     }
 }
--- a/src/test/java/wingspread/testbed/soak/PlantedBuild.java
+++ b/src/test/java/wingspread/testbed/soak/PlantedBuild.java
@@ -30,7 +30,7 @@
         Files.createDirectories(changed.getParent());
         Files.writeString(changed, original.replace(text, replacement));
         Path classes = Files.createDirectories(folder.resolve("classes"));
-        List<Path> unchanged = SoftswitchProcess.ownBuild();
+        List<Path> unchanged = SoftswitchProcess.currentClassPath();
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         int exitCode = compiler.run(null, null, null, "-nowarn", "-d", classes.toString(), "-cp",
                 unchanged.stream().map(Path::toString).collect(Collectors.joining(File.pathSeparator)),
--- a/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
+++ b/src/test/java/wingspread/testbed/soak/PlantedFaultTest.java
@@ -57,7 +57,7 @@
         List<Path> build = planted.compile(folder);
         Soak soak = new Soak(new Soak.Plan(1, SEEDS, SECONDS, only, SEEDS, 0, build), folder.resolve("trials"),
                 outcome -> { });
-        List<Soak.Outcome> outcomes = soak.play();
+        List<Soak.Outcome> outcomes = soak.run();
         assertTrue(outcomes.stream().filter(o -> o.result() != null)
                 .anyMatch(o -> o.result().breaches().stream().anyMatch(breach -> breach.rule() == rule)),
                 () -> planted.name() + " was not found: "
--- a/src/test/java/wingspread/testbed/soak/SoakTest.java
+++ b/src/test/java/wingspread/testbed/soak/SoakTest.java
@@ -29,9 +29,9 @@
     @Test
     void shortSoakBreaksNoRule() throws Exception {
         Soak soak = new Soak(new Soak.Plan(1, SEEDS, SECONDS, Set.of(), 2, 0, List.of()), folder, outcome -> { });
-        List<Soak.Outcome> outcomes = soak.play();
+        List<Soak.Outcome> outcomes = soak.run();
         String report = new SoakReport(outcomes, SECONDS, Duration.ofMinutes(1), Duration.ZERO).text();
-        assertEquals(List.of(), outcomes.stream().filter(Soak.Outcome::bad).map(SoakReport::describe).toList());
+        assertEquals(List.of(), outcomes.stream().filter(Soak.Outcome::hasFailed).map(SoakReport::describe).toList());
         assertTrue(outcomes.stream().mapToLong(o -> o.result().established()).sum() > 200, report);
         assertTrue(report.contains("| trials that broke no rule | " + SEEDS + " |"), report);
     }
--- a/src/test/java/wingspread/testing/Fuzz.java
+++ b/src/test/java/wingspread/testing/Fuzz.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import wingspread.net.InvalidInputException;
 import wingspread.net.FrameDecoder;
+import wingspread.net.InvalidInputException;
 
 /** Utilities for parser tests: random chunks of a stream, and random corruption of a valid message. */
 public final class Fuzz {
     private Fuzz() { }
 
     /** Feeds a stream to a decoder in chunks of random length and returns the decoded messages. */
-    public static <M> List<M> cut(FrameDecoder<M> decoder, byte[] stream, long seed)
+    public static <M> List<M> decodeInChunks(FrameDecoder<M> decoder, byte[] stream, long seed)
             throws InvalidInputException {
         SplittableRandom random = new SplittableRandom(seed);
         List<M> out = new ArrayList<>();
@@ -32,7 +32,7 @@
     }
 
     /** Returns a copy of a message, truncated or extended, with some bytes changed. */
-    public static byte[] spoil(byte[] valid, long seed) {
+    public static byte[] mutate(byte[] valid, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] out = Arrays.copyOf(valid, random.nextInt(valid.length + 20));
         for (int i = random.nextInt(6); i > 0 && out.length > 0; i--) {
@@ -52,7 +52,7 @@
      * Whether a parser either accepts the bytes or rejects them with a non-empty message of one line. Any other
      * exception is propagated.
      */
-    public static boolean takesOrTurnsAway(Parser parser, byte[] bytes) {
+    public static boolean parsesOrRejects(Parser parser, byte[] bytes) {
         try {
             parser.parse(bytes);
             return true;
--- a/src/test/java/wingspread/testing/Wire.java
+++ b/src/test/java/wingspread/testing/Wire.java
@@ -6,8 +6,8 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import wingspread.net.InvalidInputException;
 import wingspread.net.FrameDecoder;
+import wingspread.net.InvalidInputException;
 
 /** One end of a connection in a test; reads complete messages, with a timeout. */
 public final class Wire<M> implements Closeable {
@@ -49,7 +49,7 @@
     }
 
     /** Waits until the other end closes, and returns false if it sends a byte before that. */
-    public boolean closed() throws IOException {
+    public boolean awaitClose() throws IOException {
         return socket.getInputStream().read() < 0;
     }
 
--- a/src/test/java/wingspread/wirehost/WireTest.java
+++ b/src/test/java/wingspread/wirehost/WireTest.java
@@ -4,9 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import wingspread.config.SettingsParser;
-import wingspread.control.CallControl.Layout;
-import wingspread.control.CallControl.Settings;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -14,6 +11,9 @@
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import wingspread.config.SettingsParser;
+import wingspread.control.CallControl.Layout;
+import wingspread.control.CallControl.Settings;
 
 /** Tests the simulator's protocol in both directions with frames written as hex, and the errors for malformed input. */
 class WireTest {
