--- a/src/test/java/wingspread/testing/KnownRed.java
+++ b/src/test/java/wingspread/testing/KnownRed.java
@@ -16,9 +16,9 @@
  * {@code wingspread.ServeTest#aTest, the cause in words, issue 20}. Lines that begin with # are comments. Only the
  * listed tests may fail, and one that passes has to be removed from the list.
  *
- * <p>A test that fails only in some runs is listed with the failure that is known, as a regular expression for its whole
- * message: {@code wingspread.SoakTest#aTest, intermittent /EXPRESSION/ the cause in words, issue 20}. It may pass, and it
- * may fail with such a message; any other failure fails the build.
+ * <p>A test that fails only in some runs is listed with the failure that is known, as a regular expression for its
+ * whole message: {@code wingspread.SoakTest#aTest, intermittent /EXPRESSION/ the cause in words, issue 20}. It may
+ * pass, and it may fail with such a message; any other failure fails the build.
  */
 public final class KnownRed {
     /** The maximum number of listed tests; with more known failures, the build counts as broken. */
--- a/src/test/java/wingspread/testing/KnownRedExtension.java
+++ b/src/test/java/wingspread/testing/KnownRedExtension.java
@@ -8,7 +8,8 @@
 
 /**
  * A JUnit extension that lets the tests listed in {@code KNOWN-RED.txt} fail without failing the build, and fails the
- * build if one of them passes that is not listed as intermittent. Registered for all tests by a file in {@code META-INF/services}.
+ * build if one of them passes that is not listed as intermittent. Registered for all tests by a file in
+ * {@code META-INF/services}.
  */
 public final class KnownRedExtension implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
     private final KnownRed list;
